--- a/roadhead/homes/commanding.py
+++ b/roadhead/homes/commanding.py
@@ -1,4 +1,4 @@
-"""What owners want done on a home's machines, and what its machines have yet to be told."""
+"""Handles what job owners ask of a shard leader's machines, and tracks commands on their way to workers."""
 
 from roadhead.decision_log import Decision
 from roadhead.homes.machine import EXITED, LAUNCHING, Needs, Task, about, fits
@@ -6,7 +6,11 @@
 
 
 class Commanding:
-    """`ask(machine)` wants a direct request sent to a machine; `lapse_s`: of an unused grant."""
+    """Carries out the owners' frames: starts, stops, forgotten attempts, syncs and cancellations.
+
+    `ask(machine)` requests a direct command request to a machine's worker; `lapse_s` is the time after which
+    an unused grant expires.
+    """
 
     def __init__(self, loop, known, news, reconciliation, rooms, lapse_s, send, ask, counters, decisions):
         self._loop = loop
@@ -21,7 +25,7 @@
         self._decisions = decisions
 
     def on_start(self, label, incarnation, frame):
-        """Tasks of one job for one machine; with `last` the grant comes back after them."""
+        """Starts tasks of one job on one granted machine; `frame.last` also returns the rest of the grant."""
         known = self._known
         machine = known.machines.get(frame.machine)
         self._rooms.heard(label, frame.length)
@@ -67,26 +71,32 @@
         self._count("starts")
         return True
 
-    def _task(self, name, *key):
+    def _find_task(self, name, *key):
+        """(machine, task), either of them None if it is not known here."""
         machine = self._known.machines.get(name)
         if machine is None:
             return None, None
         return machine, machine.tasks.get(key)
 
     def on_stop(self, frame):
-        machine, task = self._task(frame.machine, frame.job, frame.index, frame.attempt)
+        """Stops a running attempt for its owner, with the grace period of the frame."""
+        machine, task = self._find_task(frame.machine, frame.job, frame.index, frame.attempt)
         if task is not None and task.status != EXITED:
             machine.stop(task, frame.grace)
             self._ask(machine)
 
     def on_forget(self, frame):
+        """Lets workers forget ended attempts whose results are recorded or not needed."""
         for row in frame.rows:
-            machine, task = self._task(*row)
+            machine, task = self._find_task(*row)
             if task is not None and task.status == EXITED:
                 machine.forget(task)
 
     def on_sync(self, label, incarnation, frame):
-        """An owner names its jobs, and tasks of them that it believes here; costs what it names."""
+        """Records the owner of the jobs that it names, and answers its claims on attempts.
+
+        The cost grows with what the frame names, not with the number of machines.
+        """
         known, news = self._known, self._news
         owner = (label, incarnation)
         jobs = set(frame.jobs)
@@ -112,7 +122,7 @@
         self._reconciliation.sync(label, incarnation, frame)
 
     def cancel(self, jobs):
-        """Jobs that are over: what is left of them stops."""
+        """Stops and forgets all attempts of jobs that are done or cancelled."""
         now = self._loop.now()
         cancelled = self._known.cancelled
         fresh = [job for job in dict.fromkeys(jobs) if job not in cancelled]
@@ -126,7 +136,7 @@
             self._ask(machine)
 
     def spec(self, job, spec, *, over):
-        """The needs of a job's tasks, read from its record; `over`: it is done or cancelled."""
+        """Records the needs of a job read from its record; `over`: the job is done or cancelled."""
         if spec is not None:
             self._known.specs[job] = spec
         if over:
@@ -140,13 +150,14 @@
             self._news.states(machine, tasks, True)
             self._rooms.changed(machine)
 
-    # On the way to the machines
+    # Launches sent to workers directly
 
-    def sending(self, machine, launches):
-        """Launches are about to be sent directly; returns those on their way for the first time.
+    def note_launches_sent(self, machine, launches):
+        """Marks launches that are about to be sent directly; returns those sent for the first time.
 
-        Until the answer comes they may arrive at any later time, even if a report has shown
-        the attempt meanwhile (the launch was repeated there): it must not be forgotten.
+        Until the worker answers, the launch can still arrive at any later time, even if a report has shown
+        the attempt since: the report's answer may have repeated the launch. Such an attempt must not be
+        forgotten, or the late launch would start it again.
         """
         for task in launches:
             self._decisions.note(
@@ -158,7 +169,7 @@
         return fresh
 
     @staticmethod
-    def settled(fresh):
-        """These launches were answered, or never left."""
+    def clear_unanswered(fresh):
+        """Clears the mark of launches that were answered or were never sent."""
         for task in fresh:
             task.loose_token = 0
--- a/roadhead/homes/faults.py
+++ b/roadhead/homes/faults.py
@@ -1,15 +1,18 @@
-"""Which machines fail their tasks, and which failures are their jobs' own."""
+"""Tells machines that fail their tasks from jobs that fail on every machine."""
 
 import logging
 
 log = logging.getLogger("roadhead.home")
 
-DOUBT_REPORTS = 2  # report intervals in which an owner learns where else a job fails
-JOBS_FAILING = 4  # on one machine, with no success between, that can't all be to blame
+SUSPECT_REPORTS = 2  # report intervals given to owners to find out whether the job fails elsewhere too
+MIN_FAILING_JOBS = 4  # so many jobs failing on one machine, with no success between, are not all at fault
 
 
 class Faults:
-    """`drain(machine)` gives a machine up. `report_s`: a worker's report interval."""
+    """Counts failures by machine and job, and drains machines at fault.
+
+    `drain(machine)` takes a machine out of use; `report_s` is the workers' report interval.
+    """
 
     def __init__(self, loop, known, rooms, report_s, drain, counters):
         self._loop = loop
@@ -18,31 +21,37 @@
         self._report_s = report_s
         self._drain = drain
         self._count = counters.add
-        self._doubted = {}  # machines in doubt, in order as a set
+        self._suspects = {}  # suspected machines -> True; an ordered set
 
     def exited(self, machine, task):
-        """A task of the machine has ended."""
+        """Updates the failure counts after a task of the machine has exited."""
         known, now = self._known, self._loop.now()
         if not machine.busy():
             machine.idle_since = now
         if task.cause == "done":
-            machine.dones += 1
+            machine.done_count += 1
             machine.errors.clear()
-            machine.doubts = 0
+            machine.suspect_count = 0
             known.proven[task.job] = now
             known.faulty.pop(task.job, None)
-            self._acquit(machine)
+            self._clear_suspicion(machine)
         elif task.cause == "error":
             machine.errors[task.job] = machine.errors.get(task.job, 0) + 1
-            if not machine.draining and not machine.doubt_until and sum(self._blame(machine)) > 1:
-                # Its owner, who knows of other machines too, may find the fault with the job.
-                machine.doubt_until = now + DOUBT_REPORTS * self._report_s * 2 ** min(machine.doubts, 6)
-                machine.doubts += 1
-                self._doubted[machine] = True
+            if not machine.draining and not machine.suspect_until and sum(self._failure_counts(machine)) > 1:
+                # Grant nothing for a while: the job's owner sees other machines too, and may find the job
+                # at fault.
+                machine.suspect_until = now + SUSPECT_REPORTS * self._report_s * 2 ** min(
+                    machine.suspect_count, 6
+                )
+                machine.suspect_count += 1
+                self._suspects[machine] = True
                 self._rooms.changed(machine)
 
-    def _blame(self, machine, proven=False):
-        """How often tasks of each job failed there, those left out that fail everywhere."""
+    def _failure_counts(self, machine, proven=False):
+        """Failures of each job on the machine, without jobs known to fail everywhere.
+
+        `proven`: only those of jobs that have succeeded on a machine of this leader.
+        """
         known = self._known
         return [
             count
@@ -50,30 +59,37 @@
             if job not in known.faulty and (not proven or job in known.proven)
         ]
 
-    def _acquit(self, machine):
-        if machine.doubt_until:
-            machine.doubt_until = 0.0
-            self._doubted.pop(machine, None)
+    def _clear_suspicion(self, machine):
+        if machine.suspect_until:
+            machine.suspect_until = 0.0
+            self._suspects.pop(machine, None)
             self._rooms.changed(machine)
 
-    def judge(self, machine):
-        """What speaks against a machine: two failures in a row of jobs that succeed elsewhere, or
-        as many jobs failing as are not all faulty. Else it is tried again, ever more slowly.
+    def resolve_suspicion(self, machine):
+        """Drains the suspected machine if its failures are its own, else puts it back into use.
+
+        They are its own after two failures in a row of jobs that succeed elsewhere, or when MIN_FAILING_JOBS
+        different jobs fail there. Each period of suspicion is twice as long as the last, up to 64 times the
+        first.
         """
-        if sum(self._blame(machine, True)) > 1 or len(self._blame(machine)) >= JOBS_FAILING:
-            log.info("machine %s fails its tasks: %s", machine.id, sorted(machine.errors))
+        if (
+            sum(self._failure_counts(machine, True)) > 1
+            or len(self._failure_counts(machine)) >= MIN_FAILING_JOBS
+        ):
+            log.info("machine %s drained: tasks of jobs %s failed there", machine.id, sorted(machine.errors))
             self._count("machines_faulty")
-            self._doubted.pop(machine, None)
+            self._suspects.pop(machine, None)
             self._drain(machine)
         else:
-            self._acquit(machine)
+            self._clear_suspicion(machine)
 
     def on_job_fails(self, job):
+        """Records that a job fails wherever it runs, and clears machines suspected because of it."""
         self._known.faulty[job] = self._loop.now()
-        for machine in list(self._doubted):
-            if sum(self._blame(machine)) < 2:
-                self._acquit(machine)
+        for machine in list(self._suspects):
+            if sum(self._failure_counts(machine)) < 2:
+                self._clear_suspicion(machine)
 
     def let_go(self, machine):
-        """The machine is this home's no longer."""
-        self._doubted.pop(machine, None)
+        """Forgets a machine that this controller no longer leads."""
+        self._suspects.pop(machine, None)
--- a/roadhead/homes/handover.py
+++ b/roadhead/homes/handover.py
@@ -1,12 +1,12 @@
-"""What a home that gives machines away tells their new home, so that it need not find it out."""
+"""Builds the frames that tell a machine's new shard leader what the old one knows of it."""
 
 from roadhead.wire import frames
 
-ROWS_MOST = 2000  # of a frame
+MAX_ROWS_PER_FRAME = 2000
 
 
 def handover(machines, known):
-    """Frames for the new home: first of the jobs with tasks there, then of the machines."""
+    """Frames for the new leader: first the jobs with tasks on the machines, then the machines."""
     jobs = {}
     for machine in machines:
         for task in machine.tasks.values():
@@ -35,10 +35,10 @@
         if machine.heard_at is not None
     ]
     return [
-        *(frames.HandoverJobs(part) for part in _parts(list(jobs.values()))),
-        *(frames.Handover(part) for part in _parts(rows)),
+        *(frames.HandoverJobs(chunk) for chunk in _chunks(list(jobs.values()))),
+        *(frames.Handover(chunk) for chunk in _chunks(rows)),
     ]
 
 
-def _parts(rows):
-    return [rows[at : at + ROWS_MOST] for at in range(0, len(rows), ROWS_MOST)]
+def _chunks(rows):
+    return [rows[at : at + MAX_ROWS_PER_FRAME] for at in range(0, len(rows), MAX_ROWS_PER_FRAME)]
--- a/roadhead/homes/hearing.py
+++ b/roadhead/homes/hearing.py
@@ -1,4 +1,4 @@
-"""What workers report, and what it says of their tasks."""
+"""Takes in workers' reports and updates machines, tasks and leases from them."""
 
 import logging
 from typing import NamedTuple
@@ -12,14 +12,18 @@
 
 
 class Renewal(NamedTuple):
-    """What a report is answered: the token, and the worker's commands in order."""
+    """The answer to a report: the machine's token, and the commands for its worker in order."""
 
     token: int
     orders: list
 
 
 class Hearing:
-    """`drain(machine)`: its notice came. `need_spec(job)`: a task was found of which nothing is known."""
+    """Processes reports and the answers to direct commands.
+
+    `drain(machine)` is called when the cloud has announced the machine's end; `need_spec(job)` when a task is
+    found whose job is not known here.
+    """
 
     def __init__(self, loop, member, known, news, reconciliation, rooms, faults, drain, need_spec, decisions):
         self._loop = loop
@@ -34,11 +38,11 @@
         self._decisions = decisions
 
     def answer(self, report):
-        """The Renewal that answers a worker's own report, or None if it must not be answered 200.
+        """The Renewal for a worker's report, or None if the report must not be answered with 200.
 
-        An answer renews the worker's lease whether the report brings news or not: one that the answer to a
-        direct command overtook is answered, too. So it is counted here, where it is decided on, and nowhere
-        else (ran_twice at production size: docs/incidents/ran-twice.md).
+        Any answer renews the worker's lease, also one to a report that the answer to a direct command has
+        overtaken. So the lease is counted here, where the answer is decided on, and nowhere else: leaving out
+        overtaken reports broke rule ran_twice at production size (docs/incidents/ran-twice.md).
         """
         machine = self._take_report(report)
         if machine is None:
@@ -53,7 +57,7 @@
         return Renewal(machine.token, orders)
 
     def _note_overtaken(self, machine, number):
-        """A report that is not the newest message of its worker is about to be answered."""
+        """Records that a report older than the worker's newest message is about to be answered."""
         again = number <= machine.lease.answered
         self._decisions.count("reports_again" if again else "reports_overtaken")
         self._decisions.note(
@@ -66,7 +70,7 @@
         )
 
     def _take_report(self, report):
-        """The machine of a report, or None if this home has no say over it."""
+        """Takes in a report; returns its machine, or None if this controller must not lead it."""
         known = self._known
         machine = known.machines.get(report.machine)
         now = self._loop.now()
@@ -85,11 +89,14 @@
         return machine
 
     def _too_late(self, machine):
-        """It may have come up since another is its home, which would not know what is started there."""
+        """Whether the machine may have started under another leader.
+
+        That leader would not wait for it, and would not know of tasks started there by this one.
+        """
         return not machine.up and not self._member.takes_on(machine.share)
 
     def observe(self, machine, report):
-        """Takes in a report or the body of a direct answer; False if it is an old one."""
+        """Takes in a report or the body of a direct answer; returns False if it is outdated."""
         if report.token > machine.token or self._too_late(machine):
             return False
         machine.up = True
@@ -98,10 +105,10 @@
             return False
         now = self._loop.now()
         if machine.kind is None:
-            machine.know_kind(self._known.types.get(machine.type))
+            machine.set_kind(self._known.types.get(machine.type))
         if report.session > machine.session:
-            # The worker killed all it had before it began this session, and commands for
-            # the old one are refused from now on.
+            # A worker kills all its tasks before it begins a session, and refuses commands for earlier
+            # sessions.
             for task in list(machine.tasks.values()):
                 self._news.freed(machine, task, "lease ended")
             machine.lease.begin(now)
@@ -122,7 +129,7 @@
         before = machine.room()
         self._take_tasks(machine, report.tasks, confirmed)
         if confirmed:
-            self._meet_claims(machine)
+            self._resolve_claims(machine)
         if first:
             self._reconciliation.settle()
         if machine.room() != before or first:
@@ -132,9 +139,9 @@
             self._drain(machine)
         return True
 
-    def _meet_claims(self, machine):
+    def _resolve_claims(self, machine):
         for key, claimer in self._reconciliation.take_claims(machine.id):
-            # An heir that did not know of the task may have named the job since.
+            # A successor that did not know of the task may have named its job since.
             owner = self._known.owners.get(key[0], claimer)
             task = machine.tasks.get(key)
             if task is None:
@@ -145,27 +152,27 @@
 
     def _take_tasks(self, machine, reported, confirmed):
         if confirmed and reported == machine.reported:
-            return  # all of it is known
-        machine.readings += 1
-        reading = machine.readings
+            return  # the same list as last time
+        machine.scans += 1
+        scan = machine.scans
         by_name = machine.by_name
         changed = []
         for item in reported:
             task = by_name.get((item.task, item.attempt))
             if task is None:
-                task = self._found(machine, item)
+                task = self._add_found_task(machine, item)
                 if task is None:
                     continue
-            task.mark = reading
+            task.last_scan = scan
             was = task.status
-            if was == item.status and task.cause == item.cause and task.seen:
+            if was == item.status and task.cause == item.cause and task.was_reported:
                 continue
-            first, task.seen = not task.seen, True
-            machine.progress(task, item.status)
+            first, task.was_reported = not task.was_reported, True
+            machine.set_status(task, item.status)
             task.cause = item.cause
             task.saved = bool(item.saved)
             if item.status == "running" and (first or was != "running") and task.needs is not None:
-                machine.has_image(task.needs)
+                machine.note_image_in_use(task.needs)
             if task.status == EXITED and was != EXITED:
                 self._faults.exited(machine, task)
             if task.job in self._known.cancelled:
@@ -173,20 +180,20 @@
                 if task.status == EXITED:
                     machine.forget(task)
             if was != LAUNCHING or item.status != "pulling":
-                changed.append(task)  # its owner knows that a task it started waits for its image
+                changed.append(task)  # the owner of a launched task expects it to pull its image first
         if changed:
             self._news.states(machine, changed)
         if confirmed:
-            for task in [t for t in machine.tasks.values() if t.seen and t.mark != reading]:
+            for task in [t for t in machine.tasks.values() if t.was_reported and t.last_scan != scan]:
                 self._news.freed(machine, task, "not there")
             machine.reported = reported
 
-    def _found(self, machine, item):
-        """The task of a report's entry that was not in the machine's reports before."""
+    def _add_found_task(self, machine, item):
+        """The task of a report's entry, added to the machine if it is new; None if its name is invalid."""
         try:
             job, index = messages.split_task(item.task)
         except messages.Invalid:
-            log.error("machine %s reports task %r", machine.id, item.task)
+            log.error("machine %s reports a task with an invalid name: %r", machine.id, item.task)
             return None
         task = machine.tasks.get((job, index, item.attempt))
         if task is None:
--- a/roadhead/homes/home.py
+++ b/roadhead/homes/home.py
@@ -1,7 +1,7 @@
-"""The home of machines: the only one to command them, and the referee of their room.
+"""The leader of machine shards: the only controller that commands their machines and grants their free room.
 
-No sockets here: reports, frames and answers come in as calls; frames go out through
-`send(label, frame)`, and `ask(machine)` wants a direct request sent to a machine.
+No sockets here: reports, frames and answers come in as calls; frames go out through `send(label, frame)`, and
+`ask(machine)` requests a direct command request to a machine's worker.
 """
 
 import logging
@@ -17,17 +17,22 @@
 from roadhead.homes.news import News
 from roadhead.homes.rooms import Rooms
 from roadhead.homes.shard_reconciliation import ShardReconciliation
-from roadhead.homes.worker_lease import DRIFT
+from roadhead.homes.worker_lease import CLOCK_DRIFT
 
 log = logging.getLogger("roadhead.home")
 
-SILENT_REPORTS = 2.25  # reports come 1.25 intervals apart at the most
-DEAF_LEAST = 3  # machines, below which their silence tells nothing of the network
-PLENTY = 0.25  # of the CPUs in use that are free beside them: more, and idle machines go sooner
+SILENT_REPORTS = 2.25  # report intervals without a report; a healthy worker's are at most 1.25 apart
+DEAF_MIN_MACHINES = 3  # with fewer machines heard, their silence says nothing about the network
+SPARE_RATIO = 0.25  # free CPUs beside those in use above which idle machines are released sooner
 
 
 class Home:
-    """Puts the package together: `rooms` (granting), `hearing`, `commanding`, `reconciliation`."""
+    """Leads the machines of this controller's shards during one incarnation.
+
+    `rooms` grants free room, `hearing` takes in reports, `commanding` handles owners' frames,
+    `reconciliation` tracks what is not known yet after a shard came here. `lapse_s` is how long a grant
+    lasts unused; `need_spec(job)` is called for a job found on a machine but not known here.
+    """
 
     def __init__(
         self, loop, label, member, deployment, lapse_s, random, send, ask, need_spec, counters, decisions
@@ -39,7 +44,7 @@
         self._ask = ask
         self._count = counters.add
         self._decisions = decisions
-        self.awake_at = 0.0  # since when this process has been looking without a stall
+        self.awake_at = 0.0  # end of this process's last stall, in loop time
         self.undecided = False
         lag_s = deployment.cloud.list_lag_s
         self.known = known = Known(member, workers.lease_s, workers.cancel_s, lag_s)
@@ -69,19 +74,24 @@
     # Terms
 
     def begin(self, short):
-        """A new incarnation starts. `short`: it came in the place of the one before, without a gap in
-        which others were home to its machines."""
+        """Starts an incarnation: takes over the shards that the term gives to this controller.
+
+        `short`: this incarnation directly replaced its predecessor, and nobody else led its machines between.
+        """
         term = self._member.term
         self.reconciliation.begin(term)
         self.reconciliation.fence(term.held(self.label), short)
 
     def on_term(self, old, new):
-        """The term changed while this incarnation serves: what moved is let go of, or begun anew; what
-        stays goes on. Returns {label: [frames]} that tell the new homes what they need not find out."""
+        """Applies a new term: drops shards that moved away, and starts over with those that came or got a new
+        token. Other shards are not touched.
+
+        Returns {label: [frames]} that hand the dropped machines over to their new leaders.
+        """
         had, has = old.held(self.label), new.held(self.label)
         lost = had.keys() - has.keys()
         begun = [share for share, token in has.items() if had.get(share) != token]
-        given, told = {}, {}  # home -> [machines], and what it is told of them
+        given, told = {}, {}  # new leader -> its machines, and the frames for it
         self.reconciliation.on_relief(old, new)
         if lost or begun:
             for machine in list(self.machines.values()):
@@ -96,7 +106,7 @@
             told = {label: handover(machines, self.known) for label, machines in given.items()}
             for machine in chain.from_iterable(given.values()):
                 self.rooms.revoke(machine)
-                self._let_go(machine)
+                self._remove_machine(machine)
             self.reconciliation.let_go(lost)
             self.reconciliation.fence(begun, False)
         if old.members.keys() - new.members.keys() or new.relieved - old.relieved:
@@ -108,7 +118,7 @@
         return told
 
     def deaf(self):
-        """Most machines heard here have fallen silent: dead all at once, or cut off."""
+        """Whether most machines heard here are silent: all died at once, or this controller is cut off."""
         limit = self._loop.now() - SILENT_REPORTS * self._workers.report_s
         if self.awake_at > limit:
             return False
@@ -117,11 +127,14 @@
             if machine.heard_at is not None:
                 heard += 1
                 silent += machine.heard_at < limit
-        return heard >= DEAF_LEAST and 2 * silent > heard
+        return heard >= DEAF_MIN_MACHINES and 2 * silent > heard
 
     def on_handover(self, frame):
-        """Machines that another home gave away: a hint only. They are asked under this home's token, and
-        nothing is known of them before they answer."""
+        """Takes on machines that another leader handed over.
+
+        The frame is only a hint: each machine is asked under this leader's token, and nothing counts as known
+        of it before it answers.
+        """
         known = self.known
         for name, address, kind_name, zone, spot, draining, images in frame.rows:
             term = self._member.term
@@ -140,7 +153,7 @@
             self._ask(machine)
 
     def on_handover_jobs(self, frame):
-        """Owners and needs of jobs with tasks on machines that are about to be handed over."""
+        """Records owners and needs of jobs with tasks on machines that are about to be handed over."""
         known = self.known
         for job, label, incarnation, cpus, gpus, memory, image, image_gb, save_s, saves in frame.rows:
             if self._member.term.serves(label, incarnation):
@@ -150,7 +163,10 @@
     # Machines
 
     def covered(self, listed, asked_at):
-        """A machine list: asked for at `asked_at`, all machines of it homed here."""
+        """Takes in a list of machines of this controller's shards, requested at `asked_at`.
+
+        Returns the ids of machines that the cloud lists as failed.
+        """
         now = self._loop.now()
         known, reconciliation = self.known, self.reconciliation
         shown_at = reconciliation.shown_at(asked_at)
@@ -170,18 +186,18 @@
             taken_on = self._member.takes_on(share)
             if machine is None:
                 if not taken_on:
-                    # Not heard, then: what runs there is not known, and nothing covers it.
+                    # It is not heard, so what runs there stays unknown, and the list covers less.
                     left.add(share)
                     continue
                 machine = known.take_on(item.id, item.address, item.type, item.zone, item.spot, now)
                 reconciliation.unheard(machine)
             if machine.listed_at is None:
-                machine.born_at = shown_at - item.age_s * (1 + DRIFT)
+                machine.born_at = shown_at - item.age_s * (1 + CLOCK_DRIFT)
             machine.listed_at = asked_at
             if item.status == "running" and taken_on:
                 machine.up = True
             if item.status == "starting":
-                # It was not up at the moment that the list shows, so nobody had told it anything.
+                # The list shows it not up at that moment, so nobody can have commanded it before.
                 machine.born_at = max(machine.born_at, shown_at)
             if machine.confirmed != machine.token and item.status == "running":
                 self._ask(machine)
@@ -190,7 +206,7 @@
         return failed
 
     def machine_gone(self, machine, cause):
-        """Surely gone, with all that was on it."""
+        """Removes a machine that certainly no longer runs, and frees its tasks."""
         now = self._loop.now()
         log.info(
             "machine %s gone: %s, with %d tasks; heard %.1f s ago%s",
@@ -204,20 +220,24 @@
         self.rooms.revoke(machine)
         for task in list(machine.tasks.values()):
             self._news.freed(machine, task, cause)
-        self._let_go(machine)
+        self._remove_machine(machine)
         self.reconciliation.free_claims(machine.id, cause)
 
-    def _let_go(self, machine):
+    def _remove_machine(self, machine):
+        """Stops tracking a machine that is gone or has another leader."""
         self.known.let_go(machine)
         self.faults.let_go(machine)
 
     def unknown_gone(self, name):
-        """A machine never heard here is surely gone."""
+        """Records that a machine never heard here certainly no longer runs."""
         self.known.gone[name] = self._loop.now()
         self.reconciliation.free_claims(name, "gone")
 
     def _drain(self, machine):
-        """Nothing more starts there; tasks that can save are told to, the rest may finish."""
+        """Starts nothing more on the machine; running tasks may finish.
+
+        If the cloud has announced its end, tasks that can save are told to stop by then.
+        """
         machine.draining = True
         self.rooms.revoke(machine)
         if machine.notice_at is not None:
@@ -233,7 +253,7 @@
             self._ask(machine)
 
     def tick(self, sure_at):
-        """Once in a while: leases that ran out, grants that lapsed. Returns machines to release.
+        """Handles ended leases, expired grants and suspected machines; returns machines to release.
 
         `sure_at`: as for `judge_leases`.
         """
@@ -246,14 +266,14 @@
                 self._count("grants_lapsed")
                 self.rooms.revoke(machine)
                 self.rooms.offer(machine)
-            if machine.doubt_until and now >= machine.doubt_until and not machine.draining:
-                self.faults.judge(machine)
+            if machine.suspect_until and now >= machine.suspect_until and not machine.draining:
+                self.faults.resolve_suspicion(machine)
             if machine.todo and any(
                 task.forget and task.loose_token == machine.token for task in machine.todo.values()
             ):
-                # An unanswered launch could start the attempt again once it is forgotten;
-                # under a higher token the worker refuses it.
-                self._member.want_new_token(machine.share)
+                # Once forgotten, the attempt could be started again by the unanswered launch. Under a
+                # higher token the worker refuses that launch.
+                self._member.request_new_token(machine.share)
             ours = machine.confirmed == machine.token
             heard_at = machine.heard_at if machine.heard_at is not None else now
             silent = now - max(heard_at, self.awake_at)
@@ -265,10 +285,11 @@
         return release
 
     def judge_leases(self, sure_at):
-        """Frees what was on machines whose lease has run out, and what is claimed on those never heard.
+        """Frees the tasks of machines whose lease has ended, and claims on machines never heard.
 
-        `sure_at`: until then nobody else was home to them by the term in force, so that a lease not
-        renewed here, and over by then, is over. `undecided` says whether there are others that ended since.
+        `sure_at`: until then, by the term in force, no other controller led these machines. So a lease that
+        was not renewed here and ended before `sure_at` has certainly ended. Sets `undecided` if other leases
+        ended after it.
         """
         now = self._loop.now()
         reconciliation = self.reconciliation
@@ -292,11 +313,11 @@
             reconciliation.free_claims(machine.id, "lease ended")
             machine.confirmed = 0
             reconciliation.unheard(machine)
-        self.undecided = reconciliation.past_fence(sure_at) or undecided
+        self.undecided = reconciliation.free_claims_past_fence(sure_at) or undecided
         reconciliation.settle()
 
     def _note_lease_ended(self, machine, sure_at):
-        """`sure_at`: as for `judge_leases`."""
+        """Records the evidence for an ended lease; `sure_at`: as for `judge_leases`."""
         now, answered = self._loop.now(), machine.lease.answered
         self._decisions.note(
             Decision.LEASE_ENDED,
@@ -311,7 +332,7 @@
         )
 
     def idle(self, idle_s):
-        """Machines with nothing on them and no use for that long."""
+        """Machines without tasks or grants for longer than `idle_s(machine)` seconds."""
         now = self._loop.now()
         return [
             machine
@@ -323,7 +344,7 @@
         ]
 
     def plenty(self):
-        """Whether the machines in use have much room left that nobody wants."""
+        """Whether the machines in use have much free room that nobody wants."""
         held = spare = 0.0
         for machine in self.machines.values():
             if machine.active and machine.kind is not None:
@@ -331,17 +352,17 @@
                 held += machine.kind.cpus - free
                 if machine.holder is None and self.rooms.offerable(machine):
                     spare += free
-        return spare > PLENTY * held
+        return spare > SPARE_RATIO * held
 
-    def by_share(self):
-        """{share: machines there}."""
+    def machines_per_shard(self):
+        """{shard: number of its machines}."""
         counts = {}
         for machine in self.machines.values():
             counts[machine.share] = counts.get(machine.share, 0) + 1
         return counts
 
     def usage(self):
-        """CPUs of the machines heard: (all, held by running tasks, by others, parked, granted)."""
+        """CPUs of the machines heard: (all, of running tasks, of other tasks, free, free and granted)."""
         total = running = other = parked = granted = 0.0
         for machine in self.machines.values():
             if machine.kind is None or not machine.confirmed:
@@ -361,7 +382,7 @@
         return total, running, other, parked, granted
 
     def news(self):
-        """Rows for the renter: machines by type, zone and kind, and their parked room."""
+        """HomeNews rows for the fleet planner: machines by type, zone and spot, with their parked room."""
         rows = {}
         for machine in self.machines.values():
             row = rows.setdefault((machine.type, machine.zone, machine.spot), [0, 0, 0.0, 0.0, 0.0])
--- a/roadhead/homes/known.py
+++ b/roadhead/homes/known.py
@@ -1,15 +1,17 @@
-"""What a home knows: its machines, where each job's tasks are, who owns them and what they need."""
+"""What a shard leader knows: its machines, where each job's tasks are, who owns them and what they need."""
 
 from roadhead.homes.machine import Machine
 from roadhead.membership.touch import KEPT
 
-CANCELLED_MOST = 5000  # jobs known to be over, before the older ones are let go of
+MAX_CANCELLED = 5000  # jobs known to be over, above which old ones are forgotten
 
 
 class Known:
-    """`member` tells each machine's share and token.
+    """The tables shared by the parts of a shard leader.
 
-    `lease_s`, `cancel_s`, `lag_s` in seconds: how long names and jobs may still turn up."""
+    `member` gives each machine's shard and token. `lease_s`, `cancel_s` and the machine list's `lag_s`, in
+    seconds, bound how long names and jobs can still turn up.
+    """
 
     def __init__(self, member, lease_s, cancel_s, lag_s):
         self._member = member
@@ -19,15 +21,16 @@
         self._prune_at = 0.0
         self.types = {}
         self.machines = {}
-        self.where = {}  # job -> {Task: its machine}
-        self.gone = {}  # names of machines that are surely gone -> since when
+        self.locations = {}  # job -> {Task: its machine}
+        self.gone = {}  # name of a machine that certainly no longer runs -> since when
         self.owners = {}  # job -> (label, incarnation)
         self.specs = {}  # job -> Needs
-        self.cancelled = {}  # jobs known to be over: nothing of them may run
-        self.proven = {}  # jobs of which a task was done here
-        self.faulty = {}  # jobs that fail wherever they run, by what their owners say
+        self.cancelled = {}  # job that is done or cancelled -> since when; none of its tasks may run
+        self.proven = {}  # job of which a task succeeded here -> when
+        self.faulty = {}  # job that fails wherever it runs, by its owner's word -> since when
 
     def take_on(self, name, address, kind_name, zone, spot, now):
+        """Adds a machine that this controller leads from now on, and returns it."""
         term = self._member.term
         machine = Machine(
             name,
@@ -37,7 +40,7 @@
             spot,
             self.types.get(kind_name),
             now,
-            self.where,
+            self.locations,
             term.share(name),
             term.place(name)[1],
         )
@@ -45,35 +48,35 @@
         return machine
 
     def let_go(self, machine):
-        """The machine has another home, or is gone: nothing on it is looked for here any more."""
+        """Removes a machine that is gone or has another leader, and its tasks from the lookup by job."""
         self.machines.pop(machine.id, None)
         machine.leave()
 
     def on_machines(self, jobs):
-        """{machine: [tasks of these jobs there]}."""
+        """{machine: [its tasks of these jobs]}."""
         found = {}
         for job in jobs:
-            for task, machine in self.where.get(job, {}).items():
+            for task, machine in self.locations.get(job, {}).items():
                 found.setdefault(machine, []).append(task)
         return found
 
     def prune(self, now, awaited):
-        """Once a lease, lets go of what no task here rests on; a task found later has its record
-        read again. `awaited()`: jobs of which tasks may be found here yet.
+        """Once per lease, forgets jobs without tasks here; `awaited()`: jobs whose tasks may yet be found.
 
-        A machine that is gone can be listed for twice the list's lag more, and its last
-        report can be as late as a cut is long: then it is taken on again, silent and
-        without tasks, and returned after four leases. A job that is over can be started
-        only by an owner that has not heard so, which is told within `cancel_s`.
+        If a task of a forgotten job turns up, the job's record is read again. A machine that is gone can
+        still be listed for twice the list's lag, and its last report can be delayed as long as a network
+        partition lasts. It is then taken on again, silent and without tasks, and released after four leases.
+        A job that is over can be started only by an owner that has not heard of its end, and owners are told
+        within `cancel_s`.
         """
         if now < self._prune_at:
             return
         self._prune_at = now + self._lease_s
-        live = self.where.keys() | awaited()
+        live = self.locations.keys() | awaited()
         old = now - 4 * self._lease_s
         self.owners = {job: owner for job, owner in self.owners.items() if job in live}
         self.specs = {job: spec for job, spec in self.specs.items() if job in live}
-        if len(self.cancelled) > CANCELLED_MOST:
+        if len(self.cancelled) > MAX_CANCELLED:
             self.cancelled = {
                 job: at
                 for job, at in self.cancelled.items()
--- a/roadhead/homes/machine.py
+++ b/roadhead/homes/machine.py
@@ -1,4 +1,4 @@
-"""A machine as its home knows it, and the tasks on it."""
+"""A machine as its shard leader knows it, and the tasks on it."""
 
 from typing import NamedTuple
 
@@ -10,17 +10,17 @@
 
 
 class Needs(NamedTuple):
-    """What a home must know of a job to run its tasks. `room` is (cpus, gpus, memory)."""
+    """What a shard leader must know of a job to run its tasks; `room` is (cpus, gpus, memory)."""
 
     room: tuple
     image: str
     image_gb: float
     save_s: float
-    saves: bool
+    saves: bool  # whether its tasks can save their progress before they stop
 
 
 class Task:
-    """One attempt on a machine. `needs` are None while unknown."""
+    """One attempt of a job's task on a machine. `needs` is None while unknown."""
 
     __slots__ = (
         "attempt",
@@ -28,16 +28,16 @@
         "forget",
         "index",
         "job",
+        "last_scan",
         "loose_token",
-        "mark",
         "name",
         "needs",
         "owner",
         "saved",
-        "seen",
         "status",
         "stop_grace",
         "told",
+        "was_reported",
     )
 
     def __init__(self, job, index, attempt, status, owner=None):
@@ -49,18 +49,19 @@
         self.cause = None
         self.saved = False
         self.needs = None
-        self.seen = False
-        self.mark = 0  # the last reading of a report that showed it
-        self.name = None  # as the machine reports it, once it did
-        self.told = None
+        self.was_reported = False
+        self.last_scan = 0  # number of the newest report scan that showed it
+        self.name = None  # as the machine reports it, None before
+        self.told = None  # (status, cause, owner) as last sent to the owner
         self.stop_grace = None
         self.forget = False
         # Token of a direct launch that went unanswered: it may still arrive, as long as
-        # the worker knows neither a higher token nor a later session.
+        # the worker knows neither a higher token nor a later session. 0 without one.
         self.loose_token = 0
 
     @property
     def key(self):
+        """(job, index, attempt), unique among all tasks."""
         return self.job, self.index, self.attempt
 
 
@@ -68,7 +69,7 @@
 
 
 def about(machine, task=None):
-    """What a decision on a machine, or on an attempt there, is about (decision_log.py)."""
+    """The subject of a decision about a machine, or about an attempt on it (decision_log.py)."""
     subject = {"machine": machine.id, "shard": machine.share, "token": machine.token}
     if task is not None:
         subject |= {"task": messages.task_name(task.job, task.index), "attempt": task.attempt}
@@ -76,21 +77,22 @@
 
 
 class Machine:
-    """What is kept up to date here rather than summed anew: the room that is free, how many
-    tasks are active, and which have commands to carry out. So tasks come, go and change
-    status through this class only.
+    """State of one machine, its tasks and the commands still to be carried out there.
+
+    Free room, the number of active tasks and the tasks with pending commands are updated with each change
+    instead of being computed anew. So tasks must be added, removed and changed through these methods only.
     """
 
     __slots__ = (
+        "_active_without_needs",
         "_cpus",
         "_gpus",
+        "_locations",
         "_memory",
         "_room",
-        "_vague",
-        "_where",
         "active",
         "address",
-        "asking",
+        "ask_again",
         "attempts",
         "born_at",
         "by_name",
@@ -98,9 +100,7 @@
         "confirmed_at",
         "declined",
         "direct_at",
-        "dones",
-        "doubt_until",
-        "doubts",
+        "done_count",
         "draining",
         "errors",
         "grant_lapse_at",
@@ -116,24 +116,26 @@
         "lease",
         "listed_at",
         "notice_at",
-        "readings",
         "reported",
+        "request_pending",
+        "scans",
         "sequence",
         "session",
         "share",
         "spot",
+        "suspect_count",
+        "suspect_until",
         "taken_on",
         "tasks",
         "todo",
         "token",
         "type",
         "up",
-        "wanting",
         "zone",
     )
 
-    def __init__(self, name, address, kind_name, zone, spot, kind, now, where, share, token):
-        self._where = where  # job -> {Task: its machine}, of all machines of the home
+    def __init__(self, name, address, kind_name, zone, spot, kind, now, locations, share, token):
+        self._locations = locations  # job -> {Task: its machine}, of all machines of the leader
         self.id = name
         self.address = address
         self.type = kind_name
@@ -143,27 +145,27 @@
         self.session = 0
         self.sequence = -1
         self.share = share
-        self.token = token  # under which it is commanded
-        self.confirmed = 0  # token under which it was last heard, if it is ours
+        self.token = token  # the fencing token that its commands carry
+        self.confirmed = 0  # token that its newest report carried, 0 if none of this leader
         self.confirmed_at = 0.0
         self.heard_at = None
         self.lease = WorkerLease(now)
         self.listed_at = None
-        self.up = False  # it was, by a list or its own word, while surely nobody else was its home
-        self.born_at = 0.0  # not before this it was rented, or up
-        self.notice_at = None  # when the cloud takes it away
+        self.up = False  # seen running, by a list or a report, when nobody else can have led it
+        self.born_at = 0.0  # it was rented, or came up, no earlier than this
+        self.notice_at = None  # when the cloud ends it, by its notice
         self.tasks = {}
         self.attempts = {}  # (job, index) -> how many of them are here
         self.by_name = {}  # (task's name, attempt) as reported -> Task
-        self.reported = None  # the newest confirmed list of tasks, None if it may not hold any more
-        self.readings = 0
+        self.reported = None  # newest confirmed task list, None once tasks were dropped since
+        self.scans = 0  # task lists compared with `tasks` so far
         self.todo = {}  # tasks that may have commands to be carried out
         self.active = 0  # tasks not exited
-        self._vague = 0  # active tasks whose needs are unknown
+        self._active_without_needs = 0  # active tasks whose needs are unknown
         self._cpus = self._gpus = self._memory = 0.0  # held by active tasks
         self._room = None
-        self.images = {}  # image -> GB: seen in use there, the latest last, as many as its cache holds
-        self.holder = None
+        self.images = {}  # image -> GB: seen in use there, newest last, bounded by the machine's cache
+        self.holder = None  # label of the controller that its room is granted to
         self.grant_serial = 0
         self.grant_taken = 0
         self.grant_sent = None
@@ -172,57 +174,61 @@
         self.idle_since = now
         self.draining = False
         self.taken_on = False
-        self.errors = {}  # job -> tasks failed here since the last one done
-        self.doubts = 0  # how often that came about since a task was last done
-        self.doubt_until = 0.0  # its failures are looked into: nothing new starts before
-        self.dones = 0
-        self.asking = False  # a direct request is on its way
-        self.wanting = False  # another one is wanted after it
+        self.errors = {}  # job -> its tasks failed here since the last success
+        self.suspect_count = 0  # how often it was suspected since the last success
+        self.suspect_until = 0.0  # nothing new starts before this, while its failures are looked into
+        self.done_count = 0
+        self.request_pending = False  # a direct request is queued or under way
+        self.ask_again = False  # another one is to follow it
         self.direct_at = 0.0
 
     def room(self):
-        """Free (cpus, gpus, memory); nothing while a task's needs are unknown."""
+        """Free (cpus, gpus, memory); none while the needs of a task are unknown."""
         room = self._room
         if room is None:
             kind = self.kind
-            if kind is None or self._vague:
+            if kind is None or self._active_without_needs:
                 room = NOTHING
             else:
                 room = (kind.cpus - self._cpus, kind.gpus - self._gpus, kind.memory - self._memory)
             self._room = room
         return room
 
-    def know_kind(self, kind):
+    def set_kind(self, kind):
+        """Sets the machine's type once the cloud's types are known."""
         self.kind = kind
         self._room = None
 
-    def _hold(self, task, by):
+    def _adjust_held(self, task, sign):
+        """Adds an active task's needs to what is held (`sign` 1), or takes them off (-1)."""
         self._room = None
-        self.active += by
+        self.active += sign
         if task.needs is None:
-            self._vague += by
-        elif self.active == self._vague:
-            self._cpus = self._gpus = self._memory = 0.0  # no rounding is carried on
+            self._active_without_needs += sign
+        elif self.active == self._active_without_needs:
+            self._cpus = self._gpus = self._memory = 0.0  # so that rounding errors don't add up
         else:
             cpus, gpus, memory = task.needs.room
-            self._cpus += by * cpus
-            self._gpus += by * gpus
-            self._memory += by * memory
+            self._cpus += sign * cpus
+            self._gpus += sign * gpus
+            self._memory += sign * memory
 
     def put(self, task):
+        """Adds a task to the machine."""
         self.tasks[task.key] = task
         name = task.job, task.index
         self.attempts[name] = self.attempts.get(name, 0) + 1
-        self._where.setdefault(task.job, {})[task] = self
+        self._locations.setdefault(task.job, {})[task] = self
         if task.status == LAUNCHING:
             self.todo[task.key] = task
         if task.status != EXITED:
-            self._hold(task, 1)
+            self._adjust_held(task, 1)
 
     def drop(self, task):
+        """Removes a task from the machine, if it is there."""
         if self.tasks.pop(task.key, None) is None:
             return
-        self._nowhere(task)
+        self._remove_location(task)
         name = task.job, task.index
         self.attempts[name] -= 1
         if not self.attempts[name]:
@@ -232,66 +238,70 @@
             self.by_name.pop((task.name, task.attempt), None)
         self.reported = None
         if task.status != EXITED:
-            self._hold(task, -1)
+            self._adjust_held(task, -1)
 
-    def _nowhere(self, task):
-        places = self._where[task.job]
+    def _remove_location(self, task):
+        places = self._locations[task.job]
         del places[task]
         if not places:
-            del self._where[task.job]
+            del self._locations[task.job]
 
     def leave(self):
-        """Its home looks for nothing on it any more."""
+        """Removes all tasks, also from the leader's lookup by job."""
         for task in self.tasks.values():
-            self._nowhere(task)
+            self._remove_location(task)
         self.tasks = {}
         self.attempts = {}
 
-    def progress(self, task, status):
+    def set_status(self, task, status):
+        """Changes a task's status, and the held room with it."""
         was, task.status = task.status, status
         if (was == EXITED) != (status == EXITED):
-            self._hold(task, -1 if status == EXITED else 1)
+            self._adjust_held(task, -1 if status == EXITED else 1)
 
-    def has_image(self, needs):
-        """The image is in use there; the machine drops those used longest ago."""
+    def note_image_in_use(self, needs):
+        """Notes that a task uses the image; the machine evicts the images unused for longest."""
         if not needs.image:
             return
         self.images.pop(needs.image, None)
         self.images[needs.image] = needs.image_gb
         size = sum(self.images.values())
-        most = self.kind.cache_gb if self.kind is not None else 0.0
-        while size > most and len(self.images) > 1:
+        limit_gb = self.kind.cache_gb if self.kind is not None else 0.0
+        while size > limit_gb and len(self.images) > 1:
             size -= self.images.pop(next(iter(self.images)))
 
     def learn(self, task, needs):
-        """The task's needs became known."""
+        """Sets the needs of a task whose needs were unknown."""
         held = task.status != EXITED
         if held:
-            self._hold(task, -1)
+            self._adjust_held(task, -1)
         task.needs = needs
         if held:
-            self._hold(task, 1)
+            self._adjust_held(task, 1)
 
     def stop(self, task, grace):
+        """Has the worker stop a task, with `grace` seconds to save."""
         task.stop_grace = grace
         self.todo[task.key] = task
 
     def forget(self, task):
+        """Has the worker forget an attempt once it has exited."""
         task.forget = True
         self.todo[task.key] = task
 
     def busy(self):
+        """Whether tasks are active there."""
         return self.active > 0
 
     def empty(self):
-        """Nothing runs there, and no result there has yet to be recorded."""
+        """Whether nothing runs there and no success there is still to be recorded."""
         return not self.active and all(task.forget or task.cause != "done" for task in self.tasks.values())
 
     def orders(self):
-        """All commands that the worker has yet to carry out, and the launches among them.
+        """All commands that the worker has yet to carry out, and the tasks launched by them.
 
-        A launch is repeated with the same attempt until a report shows it, and is never
-        given up before: then nothing that arrives late can start something unknown.
+        A launch is repeated with the same attempt until a report shows it, and is never given up before. So
+        a launch that arrives late can't start an attempt that is not known here.
         """
         orders = []
         launches = []
@@ -315,13 +325,14 @@
 
 
 def times(need, room):
-    """How many tasks of `need` fit in `room`; where it names fewer amounts, those count."""
-    most = 1 << 30
+    """How many tasks of `need` fit in `room`; compares the leading amounts that both name."""
+    count = 1 << 30
     for part, free in zip(need, room, strict=False):
         if part > 0:
-            most = min(most, int((free + 1e-6) / part))
-    return max(0, most)
+            count = min(count, int((free + 1e-6) / part))
+    return max(0, count)
 
 
 def fits(need, room):
+    """Whether one task of `need` (cpus, gpus, memory) fits in `room`."""
     return need[0] <= room[0] + 1e-6 and need[1] <= room[1] + 1e-6 and need[2] <= room[2] + 1e-6
--- a/roadhead/homes/news.py
+++ b/roadhead/homes/news.py
@@ -1,4 +1,4 @@
-"""What a home tells the owners of tasks."""
+"""What a shard leader tells the owners of tasks."""
 
 from roadhead.decision_log import Decision
 from roadhead.homes.machine import EXITED, LAUNCHING, about
@@ -6,6 +6,8 @@
 
 
 class News:
+    """Sends owners the states of their tasks on this leader's machines."""
+
     def __init__(self, member, known, send, counters, decisions):
         self._member = member
         self._known = known
@@ -14,15 +16,15 @@
         self._decisions = decisions
 
     def tell(self, owner, frame):
-        """`owner`: (label, incarnation), or None; only one that the term names is told."""
+        """Sends a frame to an owner, (label, incarnation) or None, if the term names that incarnation."""
         if owner is not None and self._member.term.serves(*owner):
             self._send(owner[0], frame)
 
-    def _owner(self, task):
+    def _owner_of(self, task):
         return task.owner or self._known.owners.get(task.job)
 
     def freed(self, machine, task, cause):
-        """The attempt is surely nowhere."""
+        """Drops an attempt that certainly runs nowhere, and tells its owner."""
         machine.drop(task)
         self._count(f"freed_{cause.replace(' ', '_')}")
         self._decisions.note(
@@ -37,33 +39,37 @@
         if task.status not in (EXITED, LAUNCHING) and not cancelled:
             self._count("tasks_lost")
         if not task.forget or cancelled:
-            self.tell(self._owner(task), frames.Free(machine.id, *task.key, cause))
+            self.tell(self._owner_of(task), frames.Free(machine.id, *task.key, cause))
 
     def standing(self, owner, jobs):
-        """Tasks of these jobs here, to an heir that all is known for now, if another was told of them.
+        """Sends `owner` the tasks of these jobs that another owner was told of.
 
-        Two heirs of different terms may name the same jobs, until a write of their records decides; the one
-        that named them last is told what is found since (ran_twice on a day at 1.5 times).
+        Two successors from different terms may both name a job until a write of its record decides between
+        them, and the one that named it last is told what is found meanwhile. Without this, the other one
+        starts tasks that already run: rule ran_twice broke on a simulated day at 1.5 times the load.
         """
         for machine, tasks in self._known.on_machines(jobs).items():
             rows = [
                 (task.job, task.index, task.attempt, task.status, task.cause or "")
                 for task in tasks
-                if self._owner(task) != owner and not task.forget
+                if self._owner_of(task) != owner and not task.forget
             ]
             if rows:
                 self.tell(owner, frames.TaskStates(machine.id, machine.zone, rows))
 
     def states(self, machine, tasks, again=False):
-        """What became of tasks, one frame an owner. `again`: also what was told before, and launches
-        that no report has shown: whoever inherits the job has not heard of those."""
+        """Sends owners the states of tasks, one frame per owner.
+
+        `again`: includes states sent before, and launches that no report has shown; a successor of the
+        owner has heard of neither.
+        """
         rows = {}
         for task in tasks:
             state = (task.status, task.cause, task.owner)
             if (not again and (state == task.told or task.status == LAUNCHING)) or task.forget:
                 continue
             task.told = state
-            owner = self._owner(task)
+            owner = self._owner_of(task)
             if owner is not None and self._member.term.serves(*owner):
                 rows.setdefault(owner[0], []).append(
                     (task.job, task.index, task.attempt, task.status, task.cause or "")
--- a/roadhead/homes/relief.py
+++ b/roadhead/homes/relief.py
@@ -1,40 +1,40 @@
-"""Which relieved controllers may not know yet that they are home to no machine any more.
+"""Tracks relieved controllers that may not know yet that they lead no machines any more.
 
-A relieved controller has not lapsed: until it reads the term it goes on hearing machines for the first time
-and starts tasks there, also on machines that were rented since and that no list names yet. No sockets and no
-clocks here.
+A relieved controller still has its lease. Until it reads the term it goes on hearing machines for the first
+time and starting tasks there, also on machines rented since that no list names yet. No sockets and no clocks
+here.
 """
 
 
 class Relief:
-    """`label`: of the controller that keeps this account."""
+    """The relieved controllers that may not know; `label` is this controller's own, which is left out."""
 
     def __init__(self, label):
         self._label = label
-        self._unaware = {}  # label -> number of a term that says that it is relieved
+        self._unaware = {}  # label -> number of a term by which it is relieved
 
     def __bool__(self):
-        """Whether there are any that may not know."""
+        """Whether there are any controllers that may not know."""
         return bool(self._unaware)
 
     def labels(self):
-        """Those that may not know."""
+        """Labels of the controllers that may not know."""
         return list(self._unaware)
 
     def begin(self, term):
-        """The first term of an incarnation: since when the others are relieved is not known."""
+        """Starts with an incarnation's first term: when the others were relieved is not known."""
         self._unaware = dict.fromkeys(term.relieved - {self._label}, term.number)
 
     def on_term(self, old, new):
-        """Who is relieved only now may not know; whose incarnation ended, or restored itself, does."""
+        """Adds controllers relieved by this term; removes those that were restored or began anew."""
         for label in self.labels():
             if label not in new.relieved or old.incarnation(label) != new.incarnation(label):
                 del self._unaware[label]
-        # What happened in terms that were not seen here is not known.
+        # Terms skipped in between may have restored a controller and relieved it again.
         before = old.relieved if new.number == old.number + 1 else frozenset()
         self._unaware.update(dict.fromkeys(new.relieved - before - {self._label}, new.number))
 
     def hear_term(self, label, number):
-        """Another controller, in its incarnation of now, serves the term of that number."""
+        """Removes a controller whose current incarnation serves a term by which it is relieved."""
         if label in self._unaware and number >= self._unaware[label]:
             del self._unaware[label]
--- a/roadhead/homes/rooms.py
+++ b/roadhead/homes/rooms.py
@@ -1,16 +1,19 @@
 """Free room: what controllers want, and the grants that put room on their idle lists.
 
-No sockets here: frames from controllers come in as calls, frames go out through `send`.
+The scheme is JIQ-DIO, join-idle-queue (PAPER). No sockets here: frames from controllers come in as calls,
+frames go out through `send`.
 """
 
 from roadhead.homes.machine import fits, times
 from roadhead.wire import frames
 
-PART_MARGIN = 1.2  # what others have parked was told a while ago
-PLACE, CPUS, GPUS, MEMORY, COUNT, SPOT, ZONE, TYPES, STRICT = range(9)
-HOLD_WINDOWS = 2.5  # for which room is kept back at the most
-APART = 1e3  # windows: of a shape, what lies further ahead than that is not met as one with the rest
-HELD_MOST = 1 / 8  # of the machines, kept back at once for tasks larger than what is free
+DEMAND_PART_MARGIN = 1.2  # the other leaders' parked room may have shrunk since they told of it
+PLACE, CPUS, GPUS, MEMORY, COUNT, SPOT, ZONE, TYPES, STRICT = range(9)  # of a Demand's rows
+MAX_HOLD_WINDOWS = 2.5  # for which a machine's room is held back at most
+# Rows of one shape are merged only within a span of so many windows of the queue: those far behind must not
+# take the place of the first ones.
+MERGE_SPAN_WINDOWS = 1e3
+MAX_HELD_RATIO = 1 / 8  # of the machines may be held back at once for tasks larger than their free room
 
 
 def row_fits(row, machine, room):
@@ -39,7 +42,7 @@
 
 
 class Demand:
-    """What waits at a controller: rows in its queue order, and the length of its idle list."""
+    """What waits at a controller: rows in the order of its queue, and the length of its idle list."""
 
     __slots__ = ("left", "length", "rows", "serial")
 
@@ -50,7 +53,7 @@
         self.left = sum(row[COUNT] for row in rows)
 
     def serve(self, machine):
-        """The machine's room is granted: what it will take no longer waits."""
+        """Takes the tasks that a granted machine can run off what waits."""
         left = machine.room()
         for row in self.rows:
             if row_fits(row, machine, left):
@@ -65,6 +68,11 @@
 
 
 class Rooms:
+    """Grants the free room of this leader's machines to controllers with waiting tasks.
+
+    `machines`: name -> Machine; `lapse_s`: how long a grant lasts unused; `random`: a random.Random.
+    """
+
     def __init__(self, loop, label, machines, lapse_s, random, send, counters):
         self._loop = loop
         self.label = label
@@ -74,28 +82,29 @@
         self._send = send
         self._count = counters.add
         self.demand = {}  # label -> Demand
-        self.window_s = 0.0  # what is due within it of one another is equally urgent
-        self.held = {}  # machine -> since when its room is kept back for a larger task
-        self.parked = {}  # label -> free CPUs that its home last told of
+        self.window_s = 0.0  # rows due within this time of one another are equally urgent
+        self.held = {}  # machine -> since when its room is held back for a larger task
+        self.parked = {}  # leader's label -> its free CPUs that are granted to nobody, as last told
         self._serial = 0
 
     def offerable(self, machine):
+        """Whether the machine's free room may be granted."""
         return (
             machine.confirmed == machine.token
             and not machine.draining
-            and not machine.doubt_until
+            and not machine.suspect_until
             and machine.notice_at is None
             and machine.kind is not None
         )
 
     def heard(self, label, length):
-        """The length of a controller's idle list, told with what it sends (PAPER 3)."""
+        """Records the length of a controller's idle list, which its frames tell (PAPER 3)."""
         demand = self.demand.get(label)
         if demand is not None:
             demand.length = length
 
     def peer_down(self, label):
-        """A controller's link is gone: what it holds comes back."""
+        """Takes back all grants to a controller whose link is down, and drops its demand."""
         self.demand.pop(label, None)
         self.parked.pop(label, None)
         for machine in self._machines.values():
@@ -104,12 +113,13 @@
                 machine.declined.clear()
 
     def revoke(self, machine):
+        """Takes back the machine's grant, if it has one."""
         holder, machine.holder = machine.holder, None
         if holder is not None:
             self._send(holder, frames.Revoke(machine.id, machine.grant_serial))
 
     def changed(self, machine):
-        """The machine's room, or whether it may be offered, is not what it was."""
+        """Updates, offers or revokes the room of a machine after a change."""
         if machine.holder is None:
             self.offer(machine)
         elif self.offerable(machine):
@@ -118,6 +128,7 @@
             self.revoke(machine)
 
     def _send_grant(self, machine):
+        """Tells the holder of the machine's room, if that has changed, and restarts the grant's expiry."""
         room = machine.room()
         state = (machine.grant_serial, machine.grant_taken, room)
         if state == machine.grant_sent:
@@ -141,46 +152,47 @@
         )
 
     @staticmethod
-    def _standing(machine):
-        """Parked room is granted from cheap and full machines first, so that others run empty."""
+    def _grant_order(machine):
+        """Sort key by which free room is granted: cheap and full machines first, so that others run empty."""
         kind = machine.kind
         price = kind.spot_price if machine.spot and kind.spot_price is not None else kind.price
         return (round(price / max(kind.cpus, 1e-6), 3), machine.room()[0])
 
     def offer(self, machine):
-        """The joining rule: room goes to a random controller last heard empty, else to any.
+        """Grants the machine's room by the join rule: to a random controller with an empty idle list, as last
+        heard, else to any.
 
-        Only controllers with something waiting that fits are asked, and of them those whose
-        first such row comes about earliest.
+        Only controllers with a waiting row that fits take part, and of them those whose first such row comes
+        earliest.
         """
         if machine.holder is not None or not self.offerable(machine):
             return
         room = machine.room()
         if room[0] <= 0 and room[2] <= 0:
             return
-        found = []  # (place in queue, label, strict) of each controller's first row that fits
-        larger = None  # the earliest row that the machine could run, had it more room free
+        candidates = []  # (place in queue, label, strict) of each controller's first row that fits
+        larger = None  # the earliest row that the machine could run if it had more room free
         for label, demand in self.demand.items():
             if not demand.left or machine.declined.get(label) == demand.serial:
                 continue
             for row in demand.rows:  # in queue order
                 if row_fits(row, machine, room):
-                    found.append((row[PLACE], label, row[STRICT]))
+                    candidates.append((row[PLACE], label, row[STRICT]))
                     break
                 if (larger is None or row[PLACE] < larger[PLACE]) and row_could_fit(row, machine):
                     larger = row
-        if not found:
+        if not candidates:
             self.held.pop(machine.id, None)
             return
-        first, foremost, strict = min(found)
-        if larger is not None and larger[PLACE] < first and self._hold(machine, larger[COUNT]):
+        first_place, first_label, strict = min(candidates)
+        if larger is not None and larger[PLACE] < first_place and self._hold_back(machine, larger[COUNT]):
             return
         self.held.pop(machine.id, None)
-        # What has to gather room (a gang) is not drawn for: two that share it would both go without.
+        # The room for a gang is not drawn at random: two gangs that share the room would both be stuck.
         eligible = [
             label
-            for place, label, _strict in found
-            if label == foremost or (not strict and place <= first + self.window_s)
+            for place, label, _strict in candidates
+            if label == first_label or (not strict and place <= first_place + self.window_s)
         ]
         empty = [label for label in eligible if self.demand[label].length == 0]
         label = self._random.choice(empty or eligible)
@@ -195,35 +207,36 @@
         machine.grant_sent = None
         self._send_grant(machine)
 
-    def _hold(self, machine, count):
-        """Keeps the machine's room back until a larger task fits; False if it shall not.
+    def _hold_back(self, machine, count):
+        """Holds the machine's room back until a larger task fits; False if it must be granted now.
 
-        Without that a large task starts only once nothing smaller waits: each piece of room
-        is taken as it comes free. Few machines at once, and none for long.
+        Without this a large task would start only once nothing smaller waits, since each piece of room is
+        taken as it becomes free. Few machines are held back at once, and none for long.
         """
         now = self._loop.now()
         since = self.held.get(machine.id)
         if since is None:
-            if len(self.held) >= min(count, HELD_MOST * len(self._machines)):
+            if len(self.held) >= min(count, MAX_HELD_RATIO * len(self._machines)):
                 for name, at in list(self.held.items()):
-                    if name not in self._machines or now - at > 2 * HOLD_WINDOWS * self.window_s:
+                    if name not in self._machines or now - at > 2 * MAX_HOLD_WINDOWS * self.window_s:
                         del self.held[name]
                 return False
             self.held[machine.id] = now
             return True
-        return now - since < HOLD_WINDOWS * self.window_s
+        return now - since < MAX_HOLD_WINDOWS * self.window_s
 
     # Frames from controllers
 
     def on_demand(self, label, frame):
+        """Takes in what waits at a controller, and grants it free room."""
         rows = {}
         for row in frame.rows:
             urgency, cpus, gpus, memory, count, spot, zone, types, run_s, *_renting, startable, place = row
             if not startable:
                 continue
             strict = not run_s
-            ahead = self.window_s and place // (APART * self.window_s)
-            key = (urgency, cpus, gpus, memory, spot, zone, tuple(types), strict, ahead)
+            span = self.window_s and place // (MERGE_SPAN_WINDOWS * self.window_s)
+            key = (urgency, cpus, gpus, memory, spot, zone, tuple(types), strict, span)
             row = rows.get(key)
             if row is None:
                 rows[key] = [place, cpus, gpus, memory, count, spot, zone, types, strict]
@@ -242,9 +255,9 @@
             and self.offerable(machine)
         ]
         wanted = set(frame.images)
-        machines.sort(key=lambda m: (wanted.isdisjoint(m.images), *self._standing(m)))
-        # Every home hears the whole demand. Where there is room for more than that, each meets
-        # its part of it, so that the machines last in this order run empty and can go back.
+        machines.sort(key=lambda m: (wanted.isdisjoint(m.images), *self._grant_order(m)))
+        # Every leader hears the whole demand. Where there is more free room than that, each meets its part,
+        # so that the machines last in this order run empty and can be released.
         spare = demand.left * (1.0 - self.part(sum(m.room()[0] for m in machines)))
         for machine in machines:
             if demand.left <= spare:
@@ -252,15 +265,17 @@
             self.offer(machine)
 
     def part(self, parked):
-        """The part of a demand that this home meets, with `parked` CPUs that could serve it."""
+        """The fraction of a demand that this leader meets with `parked` suitable free CPUs."""
         others = sum(free for label, free in self.parked.items() if label != self.label)
-        return min(1.0, PART_MARGIN * parked / (parked + others)) if parked > 0 else 1.0
+        return min(1.0, DEMAND_PART_MARGIN * parked / (parked + others)) if parked > 0 else 1.0
 
     def on_return(self, label, frame):
+        """Takes a grant back that its holder returns."""
         self.heard(label, frame.length)
         self.returned(label, self._machines.get(frame.machine), frame.serial)
 
     def returned(self, label, machine, serial):
+        """Ends the grant of that serial, and offers the room to controllers that have not declined it."""
         if machine is None or machine.holder != label or machine.grant_serial != serial:
             return
         self._count("returns")
--- a/roadhead/homes/shard_reconciliation.py
+++ b/roadhead/homes/shard_reconciliation.py
@@ -1,5 +1,8 @@
-"""What a home has yet to learn of its shards: which machines it has heard under its tokens, and when it may
-tell owners that it knows all that runs there (safety 3)."""
+"""What a shard leader has yet to learn of its shards after they came here.
+
+It tells which machines were heard under its tokens, and when the leader may tell owners that it knows all
+tasks that run there (safety 3 in docs/design.md).
+"""
 
 import logging
 import math
@@ -7,31 +10,33 @@
 
 from roadhead.decision_log import Decision
 from roadhead.homes.relief import Relief
-from roadhead.homes.worker_lease import DRIFT
+from roadhead.homes.worker_lease import CLOCK_DRIFT
 from roadhead.wire import frames
 
 log = logging.getLogger("roadhead.home")
 
-ANSWER_S = 4.0  # a worker drops responses that took longer (PROTOCOL)
+MAX_RESPONSE_S = 4.0  # a worker drops responses that take longer (PROTOCOL)
 
 
 class PendingSync(NamedTuple):
-    """An owner's request to be told once all that is here of these jobs is known."""
+    """An owner's request to be told once all that runs here of these jobs is known."""
 
     label: str
     incarnation: int
-    term: int  # its number
+    term: int  # number of the term it was sent in
     number: int  # of the request
     jobs: list
 
 
 class Fence:
-    """Of one share, since it is this home's under its token. Times are the loop's; `since`: nobody else heard
-    a machine of it that was not up by then.
-
-    `at`: by then every lease that another home renewed has ended. `cover_from`: a machine list must
-    have been asked for after this. `unheard`: machines not heard under the token; `awaited`: those
-    of them that a sync waits for before the fence, which only become fewer. In order as sets.
+    """What limits the knowledge of one shard since this controller leads it under its token.
+
+    Times are in seconds of the loop. `since`: machines of the shard that came up later were heard by no other
+    leader; infinite while a relieved controller may still hear some. `at`: by then every lease that another
+    leader renewed has ended. `short`: whether `at` assumes that no other leader came between. `cover_from`:
+    only a machine list requested after this counts as complete, and `covered` is whether one was taken in.
+    `unheard`: machines not heard under the token. `awaited`: those of them that syncs wait for until `at`;
+    they only become fewer. Both are ordered sets.
     """
 
     __slots__ = ("at", "awaited", "cover_from", "covered", "short", "since", "unheard")
@@ -47,9 +52,10 @@
 
 
 class ShardReconciliation:
-    """What this home has yet to learn of its shards, and who waits for that.
+    """Decides when all tasks in this leader's shards are known, and answers the owners that wait for that.
 
-    `lease_s`, `cancel_s` of the workers and `lag_s` of the machine list, in seconds."""
+    `lease_s` and `cancel_s` of the workers and `lag_s` of the machine list are in seconds.
+    """
 
     def __init__(self, loop, member, known, news, lease_s, cancel_s, lag_s, decisions):
         self._loop = loop
@@ -60,53 +66,56 @@
         self._cancel_s = cancel_s
         self._lag_s = lag_s
         self._decisions = decisions
-        self._claims = {}  # machine -> {(job, index, attempt): owner}
-        self._syncs = []  # PendingSync, in order
-        self._fences = {}  # share -> Fence, of the shares homed here
-        self._unsure = {}  # shares that may not be clean, in order as a set
+        self._claims = {}  # name of a machine -> {(job, index, attempt): owner}
+        self._syncs = []  # PendingSync, in order of arrival
+        self._fences = {}  # shard led here -> Fence
+        self._unverified = {}  # shards that may not be clean -> True; an ordered set
         self._relief = Relief(member.label)
 
     def begin(self, term):
-        """A new incarnation's first term."""
+        """Starts an incarnation with its first term."""
         self._relief.begin(term)
 
     def may_not_know(self):
-        """Labels of relieved controllers that are not known to know."""
+        """Labels of relieved controllers that may not know of it yet."""
         return self._relief.labels()
 
     def on_relief(self, old, new):
-        """The term changed; to be called before shares of it are fenced."""
+        """Applies a new term's relieved controllers; must be called before `fence` for that term."""
         self._relief.on_term(old, new)
-        self._bound_relieved()
+        self._end_wait_for_relieved()
 
     def hear_term(self, label, number):
-        """Another controller, in its incarnation of now, serves the term of that number."""
+        """Takes note that another controller's current incarnation serves the term of that number."""
         self._relief.hear_term(label, number)
-        self._bound_relieved()
+        self._end_wait_for_relieved()
+
+    def _end_wait_for_relieved(self):
+        """Bounds open fences once every relieved controller knows that it is relieved.
 
-    def _bound_relieved(self):
-        """Once no relieved controller hears machines any more: what it heard was up by now, and a list that
-        shows a later moment names it."""
+        What one of them heard is up by now, so a list that shows a later moment names it.
+        """
         if self._relief:
             return
         now = self._loop.now()
         for share, fence in self._fences.items():
             if fence.since == math.inf and now < fence.at:
                 fence.since, fence.covered = now, False
-                fence.cover_from = now + 2 * self._lag_s * (1 + DRIFT)
-                self._unsure[share] = True
+                fence.cover_from = now + 2 * self._lag_s * (1 + CLOCK_DRIFT)
+                self._unverified[share] = True
 
     def fence(self, shares, short):
-        """These shares are this home's from now on, or under a new token: what was known of them may be
-        old. `short`: nobody else was their home since this one's last incarnation.
+        """Begins anew with shards that came to this leader or got a new token.
 
-        While a relieved controller may not know, all machines are waited for, whoever was their home right
-        before: it may have got them from that one."""
+        `short`: nobody else led them since this controller's previous incarnation. While a relieved
+        controller may not know that it is, all machines are waited for, whoever led them last: that leader
+        may have got them from the relieved one.
+        """
         now = self._loop.now()
-        # A process that ended renews nothing; a member that was dropped but lives stops
-        # renewing before cancel_s - lease_s is up (guide, safety 4). Then the lease itself.
-        at = now + self._bound_s(short)
-        cover_from = now + 2 * self._lag_s * (1 + DRIFT)
+        # A process that has ended renews no leases. A member that was dropped but lives on stops renewing
+        # before cancel_s - lease_s is up (guide, safety 4). Then its last leases have to run out.
+        at = now + self._fence_length_s(short)
+        cover_from = now + 2 * self._lag_s * (1 + CLOCK_DRIFT)
         machines = {share: [] for share in shares}
         for machine in self._known.machines.values():
             if machine.share in machines:
@@ -114,10 +123,11 @@
         for share, names in machines.items():
             since = math.inf if self._relief else now
             self._fences[share] = Fence(since, at, short, cover_from, names)
-            self._unsure[share] = True
-            self._note_held(share, names, short, at - now)
+            self._unverified[share] = True
+            self._note_shard_held(share, names, short, at - now)
 
-    def _note_held(self, share, names, short, fence_s):
+    def _note_shard_held(self, share, names, short, fence_s):
+        """Records the evidence for the new leadership of a shard."""
         member = self._member
         self._decisions.note(
             Decision.SHARD_HELD,
@@ -131,44 +141,48 @@
             machines=len(names),
         )
 
-    def _bound_s(self, short):
+    def _fence_length_s(self, short):
+        """Seconds until every lease that another leader renewed has ended."""
         bound = self._lease_s if short else self._cancel_s
-        return (bound + ANSWER_S) * (1 + 2 * DRIFT) + 0.5
+        return (bound + MAX_RESPONSE_S) * (1 + 2 * CLOCK_DRIFT) + 0.5
 
     def lengthen(self):
-        """A member is gone from the term that may live on, and have given away one of these shares right
-        before without knowing that it did: a short fence that is not over yet was too short."""
+        """Makes short fences that have not passed long, since a member was dropped or relieved.
+
+        That member may live on, and may have given one of these shards away right before without knowing
+        that the transaction succeeded.
+        """
         now = self._loop.now()
         for share, fence in self._fences.items():
             if fence.short and now < fence.at:
-                fence.at, fence.short = now + self._bound_s(False), False
+                fence.at, fence.short = now + self._fence_length_s(False), False
                 self._decisions.note(Decision.FENCE_LENGTHENED, {"shard": share}, fence_s=fence.at - now)
 
     def let_go(self, shares):
-        """These shares have another home."""
+        """Forgets shards that have another leader."""
         for share in shares:
             self._fences.pop(share, None)
-            self._unsure.pop(share, None)
+            self._unverified.pop(share, None)
             self._decisions.note(Decision.SHARD_LOST, {"shard": share}, term=self._member.term.number)
 
     def fence_at(self, share):
-        """By then every lease in the share that another home renewed has ended."""
+        """When every lease that another leader renewed in the shard has ended."""
         return self._fences[share].at
 
     def unheard(self, machine):
-        """The machine is new here, or its lease ran out."""
+        """Waits for a machine that is new here, or whose lease has ended."""
         fence = self._fences[machine.share]
         fence.unheard[machine.id] = fence.awaited[machine.id] = True
-        self._unsure[machine.share] = True
+        self._unverified[machine.share] = True
 
     def heard(self, machine):
-        """The machine was heard under the token."""
+        """Stops waiting for a machine that was heard under its token."""
         fence = self._fences[machine.share]
         fence.unheard.pop(machine.id, None)
         fence.awaited.pop(machine.id, None)
 
     def cover_at(self):
-        """When the next list that covers something should be asked for; None if that is not ahead."""
+        """The next time from which a machine list would cover a shard not covered yet; None if not ahead."""
         now = self._loop.now()
         return min(
             (
@@ -180,12 +194,11 @@
         )
 
     def shown_at(self, asked_at):
-        """No earlier than this is the moment that a list shows, up to twice its lag before it was
-        asked for."""
-        return asked_at - 2 * self._lag_s * (1 + DRIFT)
+        """The earliest moment that a machine list may show: up to twice its lag before the request."""
+        return asked_at - 2 * self._lag_s * (1 + CLOCK_DRIFT)
 
     def cover(self, asked_at, left):
-        """A machine list asked for at `asked_at` was taken in, but for machines of the shares in `left`."""
+        """Counts a list requested at `asked_at` as complete, except for the shards in `left`."""
         covered = [
             share
             for share, fence in self._fences.items()
@@ -194,31 +207,36 @@
         for share in covered:
             self._fences[share].covered = True
         if covered:
-            log.info("covered: %d shares, %d machines", len(covered), len(self._known.machines))
+            log.info(
+                "machine list covers %d more shards; %d machines known",
+                len(covered),
+                len(self._known.machines),
+            )
 
     def clean(self):
-        """Every machine of this home was heard under its token or is gone (safety 3)."""
-        while self._unsure:
-            share = next(iter(self._unsure))
-            if not self._clean(self._fences[share]):
+        """Whether every machine of this leader was heard under its token or is gone (safety 3)."""
+        while self._unverified:
+            share = next(iter(self._unverified))
+            if not self._is_clean(self._fences[share]):
                 return False
-            del self._unsure[share]
+            del self._unverified[share]
         return True
 
     def settled(self):
-        """Nothing is unsure here, and no owner waits for that."""
+        """Whether all shards are clean and no owner waits for an answer."""
         return not self._syncs and self.clean()
 
-    def _clean(self, fence):
+    def _is_clean(self, fence):
+        """Whether all tasks of a fence's shard are known."""
         if not fence.covered:
             return False
         machines = self._known.machines
         if self._loop.now() >= fence.at:
             return not any(name in machines and machines[name].tasks for name in fence.unheard)
         if fence.since == math.inf:
-            return False  # what is rented now may be heard by a relieved controller first
-        # A machine rented, or still booting, after the old member's end, or lapse, can't have been
-        # heard by it.
+            return False  # a relieved controller may hear a newly rented machine first
+        # A machine that was rented, or still booting, after the previous leader ended or its lease ran out
+        # can't have been heard by that leader.
         while fence.awaited:
             name = next(iter(fence.awaited))
             machine = machines.get(name)
@@ -227,30 +245,35 @@
             del fence.awaited[name]
         return True
 
-    # Claims of owners on tasks of machines not heard yet
+    # Owners' claims on attempts on machines that were not heard yet
 
     def claim(self, name, key, owner):
+        """Records that `owner` believes the attempt `key` to be on the machine."""
         self._claims.setdefault(name, {})[key] = owner
 
     def claimed(self, name):
+        """Whether owners claim attempts on the machine."""
         return name in self._claims
 
     def awaited_jobs(self):
-        """Jobs of which tasks may be found here yet: owners claim some, or named them and wait. Their
-        records may name an owner of before still, so whose they are is known from those alone."""
+        """Jobs whose tasks may still be found here: owners claim some, or have named the jobs and wait.
+
+        The records of these jobs may still name a previous owner, so only the claims and syncs tell it.
+        """
         jobs = {key[0] for claims in self._claims.values() for key in claims}
         return jobs.union(*(sync.jobs for sync in self._syncs))
 
     def take_claims(self, name):
-        """[((job, index, attempt), owner)] claimed on the machine, which was heard now."""
+        """Removes and returns [((job, index, attempt), owner)], the claims on a machine."""
         return list(self._claims.pop(name, {}).items())
 
     def free_claims(self, name, cause):
+        """Tells the owners of all claims on a machine that the attempts are free."""
         for key, owner in self.take_claims(name):
             self._news.tell(owner, frames.Free(name, *key, cause))
 
-    def _missing(self):
-        """(name, its Fence) of machines that owners claim tasks on and that are not known here."""
+    def _unknown_claimed_machines(self):
+        """(name, Fence of its shard) of claimed machines that are not known here."""
         term = self._member.term
         return [
             (name, fence)
@@ -259,21 +282,25 @@
         ]
 
     def vanished(self, listed, asked_at):
-        """Machines that owners claim tasks on, never heard here nor in this list, late enough.
+        """Names of claimed machines that were never heard here and that a late enough list does not show.
 
-        They ran before this home served the term, so a list that shows a later moment would
-        name them if they were not gone; a release that the cloud answers makes it sure.
+        They ran before this leader served the term, so a list that shows a later moment would name them if
+        they still ran. They are certainly gone once the cloud has answered their release.
         """
         return [
-            name for name, fence in self._missing() if asked_at >= fence.cover_from and name not in listed
+            name
+            for name, fence in self._unknown_claimed_machines()
+            if asked_at >= fence.cover_from and name not in listed
         ]
 
-    def past_fence(self, sure_at):
-        """Nobody but this home has renewed anything since: what was not heard has ended. Whether there is
-        more that can't be said as of `sure_at` (Home.judge_leases)."""
+    def free_claims_past_fence(self, sure_at):
+        """Frees claims on unknown machines whose fence had passed by `sure_at` (see Home.judge_leases).
+
+        Nobody but this leader can have renewed their leases since. Returns whether fences passed after it.
+        """
         now = self._loop.now()
         undecided = False
-        for name, fence in self._missing():
+        for name, fence in self._unknown_claimed_machines():
             if sure_at > fence.at:
                 self.free_claims(name, "lease ended")
             undecided = undecided or now > fence.at >= sure_at
@@ -282,17 +309,17 @@
     # Syncs
 
     def on_term(self, new):
-        """Claims and syncs that the new term has no use for go."""
+        """Drops claims on machines that moved away, and syncs of owners that the new term does not name."""
         self._claims = {n: c for n, c in self._claims.items() if new.home(n) == self._member.label}
         self._syncs = [s for s in self._syncs if new.serves(s.label, s.incarnation)]
 
     def sync(self, label, incarnation, frame):
-        """An owner wants to be told once all is known here."""
+        """Accepts an owner's request to be told once all is known here."""
         self._syncs.append(PendingSync(label, incarnation, frame.term, frame.number, frame.jobs))
         self.settle()
 
     def settle(self):
-        """Answers syncs once this home knows all there is to know."""
+        """Answers the pending syncs if all tasks here are known."""
         if not self._syncs or not self.clean():
             return
         syncs, self._syncs = self._syncs, []
--- a/roadhead/homes/spec_lookup.py
+++ b/roadhead/homes/spec_lookup.py
@@ -1,4 +1,4 @@
-"""What a shard leader has to know of a job whose task it found on a machine: read from the job's record."""
+"""Looks up the jobs of tasks that a shard leader found on machines, in the jobs' records."""
 
 import logging
 
@@ -11,24 +11,27 @@
 
 
 class SpecLookup:
-    """Reads records of jobs that are not known here, each once at a time, until the state service answers."""
+    """Reads records of unknown jobs, one read per job at a time, until the state service answers.
+
+    `retry_s`: seconds between two tries.
+    """
 
     def __init__(self, loop, state, retry_s):
         self._loop = loop
         self._state = state
         self._retry_s = retry_s
         self._home = None
-        self._under_way = set()  # ids of jobs
+        self._pending_jobs = set()  # ids of jobs that are being looked up
 
     def begin(self, home):
-        """Another incarnation's Home: what was asked for the one before is dropped."""
+        """Starts an incarnation with its Home; lookups for the previous one are dropped."""
         self._home = home
-        self._under_way.clear()
+        self._pending_jobs.clear()
 
     def need(self, job_id):
-        """A task of that job was found: its Home is told what the job needs, or that it is over."""
-        if job_id not in self._under_way:
-            self._under_way.add(job_id)
+        """Starts a lookup, after which the Home is told the job's needs, or that the job is over."""
+        if job_id not in self._pending_jobs:
+            self._pending_jobs.add(job_id)
             self._loop.spawn(self._look_up(job_id, self._home), f"look up {job_id}")
 
     async def _look_up(self, job_id, home):
@@ -40,12 +43,12 @@
                 continue
             self._tell(home, job_id, record)
             break
-        self._under_way.discard(job_id)
+        self._pending_jobs.discard(job_id)
 
     @staticmethod
     def _tell(home, job_id, record):
         if record is None:
-            log.error("task of unknown job %s found", job_id)
+            log.error("found a task of job %s, which has no record", job_id)
         if record is None or record["s"] in FINAL:
             home.commanding.spec(job_id, None, over=True)
             return
--- a/roadhead/homes/worker_lease.py
+++ b/roadhead/homes/worker_lease.py
@@ -1,19 +1,19 @@
-"""A worker's lease, as the home of its machine counts it. No sockets and no clocks here.
+"""A worker's lease, as the leader of its shard counts it. No sockets and no clocks here.
 
 A worker counts its lease from when it *sent* the newest report that was answered (PROTOCOL, Leases). It does
-not say when that was, so the home counts from when it answers, which is later. That is safe as long as every
-answer is counted that can have an effect at the worker: also that to a report which a later message of the
-worker, the answer to a direct command, overtook on its way here.
+not say when that was, so the leader counts from when it answers, which is later. That is safe only if every
+answer is counted that can have an effect at the worker. That includes answers to reports that were overtaken
+on their way by a later message of the same worker, the answer to a direct command.
 """
 
 from typing import NamedTuple
 
-DRIFT = 0.0005  # between two steady clocks (PROTOCOL)
-SLACK_S = 0.2
+CLOCK_DRIFT = 0.0005  # largest relative drift between two steady clocks (PROTOCOL)
+LEASE_SLACK_S = 0.2
 
 
 class ReportNumber(NamedTuple):
-    """Which of two messages of a worker is the newer one (PROTOCOL, `stint` and `tally`)."""
+    """Orders the messages of a worker: the greater one is newer (PROTOCOL, `stint` and `tally`)."""
 
     session: int
     sequence: int
@@ -24,31 +24,38 @@
         return cls(report.session, report.sequence)
 
 
-NONE_ANSWERED = ReportNumber(0, -1)
+NO_REPORT_ANSWERED = ReportNumber(0, -1)
 
 
 class WorkerLease:
-    """`renewed_at`: no answer that was given until now renews the worker's lease from a later moment; a time
-    of the loop, in seconds. `answered`: the newest report answered."""
+    """When a worker's lease was last renewed, as far as its leader can tell.
+
+    `renewed_at`, in seconds of the loop: no answer given so far renews the worker's lease from a later
+    moment. `answered`: number of the newest report answered.
+    """
 
     __slots__ = ("answered", "renewed_at")
 
     def __init__(self, now):
         self.renewed_at = now
-        self.answered = NONE_ANSWERED
+        self.answered = NO_REPORT_ANSWERED
 
     def begin(self, now):
-        """The worker was heard in a new session, or for the first time under a token: whatever renewed its
-        lease before, in whoever's answer, was sent by now."""
+        """Counts from now: the worker was heard in a new session, or for the first time under a token.
+
+        Whatever renewed its lease before, in any controller's answer, was sent before now.
+        """
         self.renewed_at = now
 
     def answer(self, number, now):
-        """A report is about to be answered 200. A copy of one that was answered before, or one older than
-        such, was sent no later than that, and renews nothing."""
+        """Counts a report that is about to be answered with 200.
+
+        A copy of an answered report, or an older one, was sent no later than that one and renews nothing.
+        """
         if number > self.answered:
             self.answered = number
             self.renewed_at = now
 
     def ends_at(self, lease_s):
-        """By then it has ended, if nothing more is answered."""
-        return self.renewed_at + lease_s * (1 + 2 * DRIFT) + SLACK_S
+        """When the lease has certainly ended if no further report is answered."""
+        return self.renewed_at + lease_s * (1 + 2 * CLOCK_DRIFT) + LEASE_SLACK_S
--- a/roadhead/homes/workers.py
+++ b/roadhead/homes/workers.py
@@ -1,4 +1,4 @@
-"""Direct requests to workers: one at a time for each machine, over a kept-open connection."""
+"""Direct requests to workers: one at a time per machine, over connections that are kept open."""
 
 import logging
 
@@ -11,8 +11,11 @@
 
 
 class Workers:
-    """At most `sockets.orders_most` requests are under way at once, half of them to machines that
-    were not heard for `silent_s`: those that answer don't wait for those that don't.
+    """Sends machines their commands directly, without waiting for their next report.
+
+    At most `sockets.orders_most` requests are under way at once, at most half of them to machines that have
+    been silent for `silent_s` or longer. So machines that answer don't wait for those that don't.
+    `may_command()` tells whether this controller may command workers now.
     """
 
     def __init__(self, loop, net, member, timeout_s, may_command, silent_s, sockets, decisions):
@@ -25,25 +28,25 @@
         self._silent_s = silent_s
         self._sockets = sockets
         self._decisions = decisions
-        self._clients = {}  # machine -> Client, the one used last at the end
-        self._queues = {}, {}  # machines to be asked, in order as a set: heard lately, silent
-        self._asking = [0, 0]  # requests under way to them
+        self._clients = {}  # machine -> Client, least recently used first
+        self._queues = {}, {}  # machines to be asked -> True, ordered sets: heard lately, silent
+        self._asking = [0, 0]  # requests under way for each of the two queues
 
     def ask(self, machine):
-        """Sends the machine what it has yet to carry out, or just shows it our token."""
-        if machine.asking:
-            machine.wanting = True
+        """Sends the machine its pending commands, or only shows it the token of its new leader."""
+        if machine.request_pending:
+            machine.ask_again = True
             return
-        machine.asking = True
+        machine.request_pending = True
         heard_at = machine.heard_at
         silent = heard_at is None or self._loop.now() - heard_at > self._silent_s
         self._queues[silent][machine] = True
         self._next()
 
     def _next(self):
-        most = self._sockets.orders_most
+        limit = self._sockets.orders_most
         for silent, queue in enumerate(self._queues):
-            while queue and sum(self._asking) < most and (not silent or 2 * self._asking[1] < most):
+            while queue and sum(self._asking) < limit and (not silent or 2 * self._asking[1] < limit):
                 machine = next(iter(queue))
                 del queue[machine]
                 self._asking[silent] += 1
@@ -53,27 +56,27 @@
         home = self.home
         try:
             while True:
-                machine.wanting = False
+                machine.ask_again = False
                 if home.machines.get(machine.id) is not machine or not self._member.joined:
                     return
                 if not self._may_command():
-                    # Out of touch: a job may have been cancelled without our knowing, and a
-                    # worker whose lease has run out would still take a direct launch.
+                    # A job may have been cancelled without word reaching this controller, and a worker
+                    # whose lease has ended would still accept a direct launch.
                     return
-                report = await self._once(machine)
+                report = await self._send_once(machine)
                 if report is None:
                     return
                 if home.machines.get(machine.id) is machine and self._member.joined:
                     home.hearing.observe(machine, report)
-                if not machine.wanting:
+                if not machine.ask_again:
                     return
         finally:
-            machine.asking = False
+            machine.request_pending = False
             self._asking[silent] -= 1
             self._next()
 
     def _client(self, machine):
-        """The kept connection to a machine, or a new one in place of the one longest unused."""
+        """The machine's connection; a new one may replace the connection unused for longest."""
         client = self._clients.pop(machine.id, None)
         if client is None or client.address != machine.address:
             client = Client(self._loop, self._net, machine.address, max_idle=1, max_body=1 << 20)
@@ -82,10 +85,11 @@
             self.forget([next(iter(self._clients))])
         return client
 
-    async def _once(self, machine):
+    async def _send_once(self, machine):
+        """Sends the commands, twice if the session was wrong; returns the answered Report or None."""
         client = self._client(machine)
-        # The session is a guess for a machine never heard: a wrong one is answered with a
-        # report (409), from which it is learned.
+        # The session of a machine never heard is a guess. A wrong one is answered with a report (409)
+        # that tells the right one.
         for _ in range(2):
             orders, launches = machine.orders()
             if machine.confirmed != machine.token:
@@ -94,17 +98,17 @@
                 return None
             session = machine.session or 1
             body = messages.commands(machine.token, session, orders)
-            fresh = self.home.commanding.sending(machine, launches)
+            fresh = self.home.commanding.note_launches_sent(machine, launches)
             try:
                 status, data, _headers = await client.request("POST", "/commands", body, self._timeout_s)
             except NoAnswer as error:
                 log.debug("commands to %s: %s", machine.id, error)
                 if not error.sent:
-                    self.home.commanding.settled(fresh)
+                    self.home.commanding.clear_unanswered(fresh)
                 return None
-            self.home.commanding.settled(fresh)
+            self.home.commanding.clear_unanswered(fresh)
             if orders and not (self._member.joined and self._may_command()):
-                # It named the session: what came late was executed in one that its lease still bounds.
+                # The request named the session: if it arrived late, that session's lease bounds what it did.
                 self._decisions.count("authority_lost")
                 self._decisions.note(Decision.AUTHORITY_LOST, about(machine), status=status, session=session)
             if status not in (200, 409):
@@ -113,12 +117,12 @@
                 report = messages.read(data, messages.Report)
                 report.check()
             except messages.Invalid as error:
-                log.error("answer of %s: %s", machine.id, error)
+                log.error("machine %s answered a command with an invalid report: %s", machine.id, error)
                 return None
             if status == 200 or report.session == session:
                 return report
             if self.home.machines.get(machine.id) is not machine:
-                return None  # its share was given away meanwhile: it is another's to hear and command
+                return None  # its shard has another leader meanwhile, which hears and commands it
             self.home.hearing.observe(machine, report)
         return None
 
@@ -135,16 +139,18 @@
         return count
 
     def forget(self, names):
+        """Closes the connections to the machines of these names."""
         for name in names:
             client = self._clients.pop(name, None)
             if client is not None:
                 client.close()
 
     def close(self):
-        """This incarnation is over: nothing that is queued is sent, no connection stays."""
+        """Ends with the incarnation: drops queued requests and closes all connections."""
         for queue in self._queues:
             queue.clear()
         self.forget(list(self._clients))
 
     def trim(self):
+        """Closes connections to machines that this controller no longer leads."""
         self.forget([name for name in self._clients if name not in self.home.machines])
--- a/roadhead/membership/authority.py
+++ b/roadhead/membership/authority.py
@@ -6,7 +6,7 @@
 
 from roadhead.membership.touch import KEPT, SILENT_BEATS, Touch
 
-BLIND_PART = 0.8  # of what `cancel_s` leaves beside a worker's lease
+OUT_OF_TOUCH_RATIO = 0.8  # of what `cancel_s` leaves beside a worker's lease
 
 
 class Authority:
@@ -50,10 +50,10 @@
                 link = self._peers.outside.get(label)
             if link is None:
                 return None
-            heard_at = min(heard_at, link.spoke_at)
+            heard_at = min(heard_at, link.last_beat_at)
         return heard_at - SILENT_BEATS * self._beat_s
 
 
 def blind_for_s(workers):
     """For how long a controller out of touch may go on: its workers' leases end before `cancel_s` is up."""
-    return BLIND_PART * (workers.cancel_s - workers.lease_s)
+    return OUT_OF_TOUCH_RATIO * (workers.cancel_s - workers.lease_s)
--- a/roadhead/membership/member.py
+++ b/roadhead/membership/member.py
@@ -15,7 +15,7 @@
 MEMBER = "c/m/"
 CANCEL = "c/x/"
 TENANT = "c/t/"
-DRIFT = 0.0005
+CLOCK_DRIFT = 0.0005
 
 
 class Member:
@@ -53,19 +53,19 @@
         self.revision = 0
         self.incarnation = 0
         self.replaced = False  # whether this label was a home until this incarnation joined
-        self._permit = None
+        self._lease_id = None
         self.renewed_at = -1e9
         self.watched_at = -1e9  # send time of the newest watch or listing that was answered
         self.term_at = -1e9  # until then the term known here was surely the one in force
-        self._present = {}  # label -> newest format of records that it knows
-        self._marks = {}  # key of a cancellation's mark -> since when it was seen here
+        self._live_formats = {}  # label -> newest format of records that it knows
+        self._cancel_marks = {}  # key of a cancellation's mark -> since when it was seen here
         self._lost = Signal()
-        self._absent = Signal()
-        self._amend = Signal()
+        self._absence = Signal()
+        self._amendment_wanted = Signal()
         self._amendments = []  # (method of Term, its arguments)
-        self._said_outdated = self._raising = False
-        self._offered = set()  # shares that a transaction under this term may have given away
-        self._ending = False  # this process gives all up and joins no more
+        self._logged_outdated = self._gate_write_pending = False
+        self._shards_offered = set()  # shares that a transaction under this term may have given away
+        self._leaving = False  # this process gives all up and joins no more
         self._not_before = {}  # amendment -> when it may be wanted again
 
     @property
@@ -74,19 +74,19 @@
 
     def lapsed(self):
         """True if the lease may have ended: others may go on without this member."""
-        return self._loop.now() - self.renewed_at > self._lease_s * (1 - DRIFT)
+        return self._loop.now() - self.renewed_at > self._lease_s * (1 - CLOCK_DRIFT)
 
     def takes_on(self, share):
         """Whether a machine of a share that the term gives to this member may be heard for the first time:
         nobody else can be its home by now, as after a lapse, or a move whose outcome is not known. A new
         home does not wait for machines that came up since it was their home (safety 3)."""
-        return not (self.lapsed() or self._ending or share in self._offered)
+        return not (self.lapsed() or self._leaving or share in self._shards_offered)
 
     def adopt(self, record, revision):
         """Takes a term record that is newer than the one known."""
         if revision <= self.revision:
             return
-        self._offered.clear()
+        self._shards_offered.clear()
         old, self.term, self.revision = self.term, Term.from_record(record), revision
         if not self.joined:
             return
@@ -99,7 +99,7 @@
 
     async def run(self):
         """Joins, serves until dropped, and joins again as a new incarnation."""
-        while not self._ending:
+        while not self._leaving:
             try:
                 if not await self._join():
                     continue
@@ -120,14 +120,14 @@
     async def _join(self):
         """True once joined; False if this version may not serve what is stored."""
         sent_at = self._loop.now()
-        self._permit = await self._state.lease(self._lease_s)
+        self._lease_id = await self._state.lease(self._lease_s)
         nonce = secrets.token_hex(6)
         self.replaced = False
         while True:
             await self._read_all()
             if self.gate.outdated:
-                if not self._said_outdated:
-                    self._said_outdated = True
+                if not self._logged_outdated:
+                    self._logged_outdated = True
                     log.error(
                         "the records are of format %d, this version knows %d: it serves nothing",
                         self.gate.force,
@@ -149,7 +149,7 @@
                         {
                             "put": MEMBER + self.label,
                             "data": self._entry(term.next),
-                            "permit": self._permit,
+                            "permit": self._lease_id,
                         },
                     ],
                 )
@@ -160,8 +160,8 @@
         self._lost = Signal()
         log.info("joined term %d as %d", self.term.number, self.incarnation)
         self._on_term(None, self.term)
-        if self.term.members.keys() - self._present:
-            self._absent.set()
+        if self.term.members.keys() - self._live_formats:
+            self._absence.set()
         return True
 
     def _entry(self, incarnation):
@@ -184,12 +184,14 @@
     def raise_gate(self):
         """Writes down what versions were seen, and opens the gate once all are new: one of the members
         that know the newest does it."""
-        newest = [label for label in sorted(self.term.members) if self._present.get(label) == self.gate.knows]
-        if not newest or newest[0] != self.label or self._raising:
+        newest = [
+            label for label in sorted(self.term.members) if self._live_formats.get(label) == self.gate.knows
+        ]
+        if not newest or newest[0] != self.label or self._gate_write_pending:
             return
-        record = self.gate.following(dict(self._present), self._time_of_day())
+        record = self.gate.following(dict(self._live_formats), self._time_of_day())
         if record is not None:
-            self._raising = True
+            self._gate_write_pending = True
             self._loop.spawn(self._raise_gate(record), "gate")
 
     async def _raise_gate(self, record):
@@ -202,13 +204,13 @@
         except (Unavailable, Unsure, Conflict) as error:
             log.debug("gate: %r", error)
         finally:
-            self._raising = False
+            self._gate_write_pending = False
 
     async def _read_all(self):
         sent_at = self._loop.now()
         items, revision = await self._state.list(PREFIX)
         self._entry_stamp = next((stamp for key, _value, stamp in items if key == MEMBER + self.label), 0)
-        self._present = {
+        self._live_formats = {
             key[len(MEMBER) :]: value["format"] for key, value, _ in items if key.startswith(MEMBER)
         }
         for key, value, stamp in items:
@@ -219,13 +221,13 @@
             elif self._on_tenant is not None and key.startswith(TENANT):
                 self._on_tenant(key, value, stamp)
         marks = [key for key, _, _ in items if key.startswith(CANCEL)]
-        self._marks = {key: self._marks.get(key, sent_at) for key in marks}
+        self._cancel_marks = {key: self._cancel_marks.get(key, sent_at) for key in marks}
         if marks:
             self._on_cancel([key[len(CANCEL) :] for key in marks])
-        self._seen = revision
-        self._watched(sent_at)
+        self._watch_revision = revision
+        self._note_watched(sent_at)
 
-    def _watched(self, sent_at):
+    def _note_watched(self, sent_at):
         self.watched_at = max(self.watched_at, sent_at)
         self.term_at = max(self.term_at, sent_at)
 
@@ -241,7 +243,7 @@
         while True:
             sent_at = self._loop.now()
             try:
-                await self._state.touch(self._permit)
+                await self._state.touch(self._lease_id)
                 self.renewed_at = sent_at
             except LeaseGone:
                 # The lease ended, but nobody may have dropped us yet: if so, stay under
@@ -272,7 +274,7 @@
                     }
                 ],
             )
-            self._permit, self.renewed_at = permit, sent_at
+            self._lease_id, self.renewed_at = permit, sent_at
         except (Unavailable, Unsure, Conflict, LeaseGone) as error:
             log.debug("new lease: %r", error)
             await self._loop.sleep(self._lease_s / 24)
@@ -281,7 +283,7 @@
         while True:
             sent_at = self._loop.now()
             try:
-                events, revision = await self._state.changes(PREFIX, self._seen, self._watch_s)
+                events, revision = await self._state.changes(PREFIX, self._watch_revision, self._watch_s)
             except TooOld:
                 try:
                     await self._read_all()
@@ -302,36 +304,36 @@
                 elif key.startswith(MEMBER):
                     label = key[len(MEMBER) :]
                     if "put" in event:
-                        self._present[label] = event["data"]["format"]
+                        self._live_formats[label] = event["data"]["format"]
                     else:
-                        self._present.pop(label, None)
-                        self._absent.set()
+                        self._live_formats.pop(label, None)
+                        self._absence.set()
                 elif key.startswith(CANCEL):
                     if "put" in event:
                         cancelled.append(key[len(CANCEL) :])
-                        self._marks[key] = self._loop.now()
+                        self._cancel_marks[key] = self._loop.now()
                     else:
-                        self._marks.pop(key, None)
+                        self._cancel_marks.pop(key, None)
                 elif self._on_tenant is not None and key.startswith(TENANT) and "put" in event:
                     self._on_tenant(key, event["data"], event["stamp"])
-            self._seen = max(self._seen, revision)
-            self._watched(sent_at)
+            self._watch_revision = max(self._watch_revision, revision)
+            self._note_watched(sent_at)
             if cancelled:
                 self._on_cancel(cancelled)
 
-    async def newest_mark(self):
+    async def newest_cancellation_at(self):
         """When the last cancellation became known here of a job that may have tasks yet, None without any;
         of all that were durable when this was called. Raises Unavailable or Unsure."""
         items, _revision = await self._state.list(CANCEL)
         now = self._loop.now()
-        return max((self._marks.get(key, now) for key, _value, _stamp in items), default=None)
+        return max((self._cancel_marks.get(key, now) for key, _value, _stamp in items), default=None)
 
     def stale_marks(self, age_s):
         """Keys of cancellations' marks that have been there for so long that nobody needs them: whose
         owner ended before it could drop them. One member names them."""
         before = self._loop.now() - age_s
         return (
-            [key for key, since in self._marks.items() if since <= before]
+            [key for key, since in self._cancel_marks.items() if since <= before]
             if self.label == min(self.term.members)
             else []
         )
@@ -339,11 +341,11 @@
     async def _drop_absent(self):
         """Drops members whose key is gone, in one transaction that checks that it is."""
         while True:
-            await self._absent.wait()
-            while self.joined and (absent := self.term.members.keys() - self._present - {self.label}):
+            await self._absence.wait()
+            while self.joined and (absent := self.term.members.keys() - self._live_formats - {self.label}):
                 rank = sorted(set(self.term.members) - absent).index(self.label)
                 await self._loop.sleep(0.02 * self._lease_s * rank)
-                absent &= self.term.members.keys() - self._present
+                absent &= self.term.members.keys() - self._live_formats
                 if not absent:
                     continue
                 log.info("dropping %s", sorted(absent))
@@ -358,24 +360,24 @@
                     except (Unavailable, Unsure):
                         pass
 
-    def want_new_token(self, share):
+    def request_new_token(self, share):
         """Asks for a higher token, so that unanswered commands can't be executed any more."""
-        self._want("raise_share", share)
+        self._request_amendment("raise_share", share)
 
     def relieve(self, label):
         """Workers of a member that is otherwise well can't reach it: others shall be their homes."""
-        self._want("relieve", label)
+        self._request_amendment("relieve", label)
 
     def restore(self):
         """Workers reach this member again."""
-        self._want("restore", self.label)
+        self._request_amendment("restore", self.label)
 
-    def _want(self, *amendment):
+    def _request_amendment(self, *amendment):
         now = self._loop.now()
         if now >= self._not_before.get(amendment, 0.0):
             self._not_before[amendment] = now + 2 * self._lease_s
             self._amendments.append(amendment)
-            self._amend.set()
+            self._amendment_wanted.set()
 
     async def _write_term(self, new, conditions=(), writes=()):
         """Puts the next term in the place of the one known, and adopts it. Raises what
@@ -407,7 +409,7 @@
         new = self.term.move(moves, self.label)
         if new is self.term:
             return
-        self._offered.update(moves)
+        self._shards_offered.update(moves)
         try:
             await self._write_term(new)
         except (Unavailable, Conflict, Unsure) as error:
@@ -416,7 +418,7 @@
     async def leave(self):
         """Gives up what this member holds, first its shares, so that it can hand them over, then its place:
         its jobs fall to heirs at once. Returns once it is out, or if there is nobody to give it to."""
-        self._ending = True
+        self._leaving = True
         while self.joined and (others := self.term.homes - {self.label}):
             if moves := self.term.shares.spread({self.label}, others):
                 await self.move(moves)
@@ -433,11 +435,11 @@
 
     async def _amend_term(self):
         while True:
-            await self._amend.wait()
+            await self._amendment_wanted.wait()
             amendments, self._amendments = self._amendments, []
             new = self.term
-            for how, *which in amendments:
-                new = getattr(new, how)(*which)
+            for method, *arguments in amendments:
+                new = getattr(new, method)(*arguments)
             if new is self.term:
                 continue
             log.info("amending the term: %s", amendments)
--- a/roadhead/membership/peers.py
+++ b/roadhead/membership/peers.py
@@ -18,13 +18,13 @@
     """`heard_at` tells silence; `spoke_at` is when the last beat came: what the other side knew when it
     sent that was on the link before it."""
 
-    __slots__ = ("deaf", "heard_at", "incarnation", "spoke_at", "state_ok", "stream", "term", "used")
+    __slots__ = ("deaf", "heard_at", "incarnation", "last_beat_at", "state_ok", "stream", "term", "used")
 
     def __init__(self, stream, incarnation, now):
         self.stream = stream
         self.incarnation = incarnation
         self.heard_at = now
-        self.spoke_at = -1e9
+        self.last_beat_at = -1e9
         self.term = 0  # number of the term served there
         self.state_ok = True
         self.deaf = False
@@ -44,7 +44,7 @@
         self._addresses = {member.label: member.endpoint for member in settings.members}
         self._listen_on = settings.internal_addr
         self._beat_s = beat_s
-        self._me = me  # () -> own incarnation, 0 if it is no member
+        self._own_incarnation = me  # () -> own incarnation, 0 if it is no member
         self._speaks = speaks
         self._beat = beat  # () -> Beat
         self._on_frame = on_frame
@@ -59,7 +59,7 @@
         for label in self._addresses:
             if self.label < label:
                 self._loop.spawn(self._dial(label), f"dial {label}")
-        self._loop.spawn(self._beats(), "beats")
+        self._loop.spawn(self._send_beats(), "beats")
 
     def _accept(self, stream):
         if self._accepted > 8 * (len(self._addresses) + 1):
@@ -69,7 +69,7 @@
 
         async def serve():
             try:
-                await self._talk(stream, None)
+                await self._serve_link(stream, None)
             finally:
                 self._accepted -= 1
 
@@ -80,12 +80,12 @@
             if self._speaks():
                 try:
                     stream = await self._net.connect(self._addresses[label], 2 * self._beat_s)
-                    await self._talk(stream, label)
+                    await self._serve_link(stream, label)
                 except (Closed, Timeout):
                     pass
             await self._loop.sleep(self._beat_s / 2)
 
-    async def _talk(self, stream, expected):
+    async def _serve_link(self, stream, expected):
         """One connection, both ways, until it ends."""
         splitter = Splitter()
         link = label = None
@@ -93,7 +93,7 @@
         try:
             if not self._speaks():
                 return
-            mine = self._me()
+            mine = self._own_incarnation()
             stream.write(Hello(self.label, mine).encode())
             while True:
                 data = await stream.read()
@@ -105,7 +105,7 @@
                         if type(frame) is not Hello or frame.label not in self._addresses:
                             raise BadFrame("no hello")
                         label = frame.label
-                        if (expected or label) != label or mine != self._me():
+                        if (expected or label) != label or mine != self._own_incarnation():
                             return
                         timer.cancel()
                         self._drop(label, self.links.get(label) or self.outside.get(label))
@@ -118,13 +118,13 @@
                     link.heard_at = self._loop.now()
                     if type(frame) is Beat:
                         if not self._loop.catching_up:
-                            link.spoke_at = link.heard_at
+                            link.last_beat_at = link.heard_at
                         link.term = frame.term
                         link.state_ok = frame.state_ok
                         link.deaf = frame.deaf
                         link.used = (frame.requests, frame.writes)
                     self._on_frame(label, link.incarnation, frame)
-                    if not self._is_up(label, link):
+                    if not self._is_current(label, link):
                         return
         except BadFrame as error:
             log.info("peer %s: %s", label or "unknown", error)
@@ -135,11 +135,11 @@
             stream.close()
             self._drop(label, link)
 
-    def _is_up(self, label, link):
+    def _is_current(self, label, link):
         return link is not None and link in (self.links.get(label), self.outside.get(label))
 
     def _drop(self, label, link):
-        if not self._is_up(label, link):
+        if not self._is_current(label, link):
             return
         link.stream.close()
         if self.outside.get(label) is link:
@@ -148,7 +148,7 @@
             del self.links[label]
             self._on_down(label)
 
-    async def _beats(self):
+    async def _send_beats(self):
         while True:
             await self._loop.sleep(self._beat_s)
             limit = self._loop.now() - SILENT_BEATS * self._beat_s
--- a/roadhead/membership/term.py
+++ b/roadhead/membership/term.py
@@ -57,27 +57,27 @@
             **({"shares": self.shares.to_record()} if self.shares is not None else {}),
         }
 
-    def _next(self, members, relieved, moves):
+    def _next_term(self, members, relieved, moves):
         """The next term: `moves` ({share: label}) take a new token, and the shares of those that are
         no home any more are spread."""
         token = self.next
         entries = dict(members)
-        new = Term(self.number + 1, token + 1, entries, self._heirs(entries), relieved)
+        new = Term(self.number + 1, token + 1, entries, self._assign_quota_leaders(entries), relieved)
         if new.homes:
             lost = set(self.shares.homes) - new.homes
             new.shares = self.shares.give({**self.shares.spread(lost, new.homes), **moves}, token)
         return new
 
-    def _renewed(self, members, changed, relieved=None):
+    def _with_new_tokens(self, members, changed, relieved=None):
         """The next term with `members`; the shares of `changed` labels take a new token."""
         if relieved is None:
             relieved = self.relieved - changed
         # Their machines have the same home under a new incarnation: it knows nothing of them.
-        return self._next(
+        return self._next_term(
             members, relieved, {share: label for label in changed for share in self.shares.of(label)}
         )
 
-    def _heirs(self, entries):
+    def _assign_quota_leaders(self, entries):
         """The wardens among the next term's members: slots of those gone go to who has fewest."""
         wardens = [
             label if label in entries and self.incarnation(label) == entries[label][0] else None
@@ -124,19 +124,19 @@
                 self.number + 1,
                 self.next + 1,
                 members,
-                self._heirs(members),
+                self._assign_quota_leaders(members),
                 (),
                 Shares.even([label], self.next),
             )
-        return self._renewed(members, {label})
+        return self._with_new_tokens(members, {label})
 
     def drop(self, labels):
         members = {label: entry for label, entry in self.members.items() if label not in labels}
-        return self._renewed(members, set())
+        return self._with_new_tokens(members, set())
 
     def raise_share(self, share):
         """A higher token for the machines of a share."""
-        return self._next(self.members, self.relieved, {share: self.shares.homes[share]})
+        return self._next_term(self.members, self.relieved, {share: self.shares.homes[share]})
 
     def move(self, moves, giver):
         """The next term, in which shares that are still the giver's have the homes named in `moves`."""
@@ -145,18 +145,18 @@
             for share, label in moves.items()
             if label in self.homes and self.shares.homes[share] == giver
         }
-        return self._next(self.members, self.relieved, moves) if moves else self
+        return self._next_term(self.members, self.relieved, moves) if moves else self
 
     def relieve(self, label):
         """The label's machines get other homes; this term if that can't be."""
         if not self.homes - {label} or label not in self.homes:
             return self
-        return self._renewed(dict(self.members), set(), self.relieved | {label})
+        return self._with_new_tokens(dict(self.members), set(), self.relieved | {label})
 
     def restore(self, label):
         if label not in self.relieved:
             return self
-        return self._renewed(dict(self.members), set(), self.relieved - {label})
+        return self._with_new_tokens(dict(self.members), set(), self.relieved - {label})
 
     def incarnation(self, label):
         entry = self.members.get(label)
--- a/roadhead/membership/touch.py
+++ b/roadhead/membership/touch.py
@@ -48,7 +48,7 @@
 
     def __init__(self, blind_s, keep_s):
         self._blind_s = blind_s
-        self._most_s = keep_s / 2  # by another clock, and told a while ago: well within it
+        self._max_gap_s = keep_s / 2  # by another clock, and told a while ago: well within it
         self.known_at = -1e9
 
     def look(self, watched_at, heard_at):
@@ -59,7 +59,7 @@
         cancellations are passed on for, it proves nothing.
         """
         self.known_at = max(self.known_at, watched_at)
-        if heard_at is not None and heard_at - self.known_at < self._most_s:
+        if heard_at is not None and heard_at - self.known_at < self._max_gap_s:
             self.known_at = max(self.known_at, heard_at)
 
     def fresh(self, now):
--- a/roadhead/recovery/takeover.py
+++ b/roadhead/recovery/takeover.py
@@ -8,7 +8,7 @@
 
 from roadhead.jobs.job import FINAL, FORMAT, KEY
 from roadhead.jobs.records import find
-from roadhead.membership.member import DRIFT
+from roadhead.membership.member import CLOCK_DRIFT
 from roadhead.pipelines.parts import whole
 from roadhead.state.client import Unavailable, Unsure
 from roadhead.wire import frames
@@ -30,7 +30,7 @@
         self._cancel_s = cancel_s
         self._book = self._shelf = None
         self._roster = None  # of the term: who serves, and who the wardens are
-        self._said_newer = False
+        self._logged_newer_format = False
         self._orphans = {}  # jobs accepted for a warden that has yet to be told -> their group
 
     def begin(self, book, shelf):
@@ -73,8 +73,8 @@
             for key, record, stamp in items:
                 job_id = key[len(KEY) :]
                 if record.get("v", 0) > FORMAT:
-                    if not self._said_newer:
-                        self._said_newer = True
+                    if not self._logged_newer_format:
+                        self._logged_newer_format = True
                         log.error("%s, and perhaps others, is of format %s: left alone", job_id, record["v"])
                 elif record["s"] in FINAL:
                     self._book.remember(job_id, record)
@@ -100,14 +100,14 @@
             if self._book.quota.inherits_limits():
                 # What was cancelled before this scan saw it is nobody's, but may run, and counts.
                 try:
-                    newest = await member.newest_mark()
+                    newest_cancelled_at = await member.newest_cancellation_at()
                 except (Unavailable, Unsure):
                     await self._loop.sleep(self._retry_s)
                     continue
                 if not member.joined or self._roster is not roster:
                     return
-                if newest is not None:
-                    gone_at = newest + self._cancel_s * (1 + DRIFT)
+                if newest_cancelled_at is not None:
+                    gone_at = newest_cancelled_at + self._cancel_s * (1 + CLOCK_DRIFT)
                     self._loop.call_later(max(0.0, gone_at - self._loop.now()), self._changed)
             self._book.quota.all_read(member.term.number, gone_at)
             self._changed()
--- a/roadhead/shares/keeper.py
+++ b/roadhead/shares/keeper.py
@@ -6,7 +6,7 @@
 
 log = logging.getLogger("roadhead.shares")
 
-KEPT_MOST = 20  # changes remembered for whoever asks
+MAX_CHANGES_KEPT = 20  # changes remembered for whoever asks
 
 
 class Keeper:
@@ -19,17 +19,19 @@
         self._settle_s = settle_s
         self._links = links
         self._count = counters.add
-        self._since = {}  # label -> (incarnation, when it was first seen in a term)
-        self._moving = False
+        self._first_seen = {}  # label -> (incarnation, when it was first seen in a term)
+        self._move_pending = False
         # (when, term, shares moved, from whom, to whom, whether the giver serves on), the latest last
         self.changes = []
 
     def on_term(self, old, new):
         now = self._loop.now()
-        self._since = {
+        self._first_seen = {
             label: (
                 entry[0],
-                self._since[label][1] if label in self._since and self._since[label][0] == entry[0] else now,
+                self._first_seen[label][1]
+                if label in self._first_seen and self._first_seen[label][0] == entry[0]
+                else now,
             )
             for label, entry in new.members.items()
         }
@@ -44,24 +46,24 @@
             self._count("shares_moved", len(shares))
             planned = new.incarnation(giver) is not None and giver in new.homes
             self.changes.append((now, new.number, len(shares), giver, taker, planned))
-        del self.changes[:-KEPT_MOST]
+        del self.changes[:-MAX_CHANGES_KEPT]
 
     def tick(self, home):
         """With each beat."""
         member, term = self._member, self._member.term
         if member.lapsed():
             return
-        if not self._moving and home.reconciliation.settled():
-            moves = step(term.shares, self._label, self._takers(term), home.by_share())
+        if not self._move_pending and home.reconciliation.settled():
+            moves = step(term.shares, self._label, self._takers(term), home.machines_per_shard())
             if moves:
-                self._moving = True
+                self._move_pending = True
                 self._loop.spawn(self._move(moves), "move shares")
 
     async def _move(self, moves):
         try:
             await self._member.move(moves)
         finally:
-            self._moving = False
+            self._move_pending = False
 
     def _takers(self, term):
         """Other homes that are heard, hear their workers, and have stayed for a while."""
@@ -73,5 +75,5 @@
             and label in links
             and not links[label].deaf
             and links[label].state_ok
-            and now - self._since[label][1] >= self._settle_s
+            and now - self._first_seen[label][1] >= self._settle_s
         ]
--- a/roadhead/shares/map.py
+++ b/roadhead/shares/map.py
@@ -39,7 +39,7 @@
         return [labels, [places[home] for home in self.homes], list(self.tokens)]
 
     def share(self, machine):
-        return number_of(machine) % len(self.homes)
+        return machine_hash(machine) % len(self.homes)
 
     def of(self, label):
         """{share: token} of a home."""
@@ -76,5 +76,5 @@
 
 
 @lru_cache(maxsize=1 << 14)
-def number_of(machine):
+def machine_hash(machine):
     return int.from_bytes(blake2b(machine.encode(), digest_size=4, key=b"share").digest(), "big")
