--- a/roadhead/homes/commanding.py
+++ b/roadhead/homes/commanding.py
@@ -136,7 +136,7 @@
             self._ask(machine)
 
     def spec(self, job, spec, *, over):
-        """Records the needs of a job read from its record; `over`: the job is done or cancelled."""
+        """Records the requirements of a job read from its record; `over`: the job is done or cancelled."""
         if spec is not None:
             self._known.specs[job] = spec
         if over:
@@ -152,7 +152,7 @@
 
     # Launches sent to workers directly
 
-    def note_launches_sent(self, machine, launches):
+    def begin_direct_send(self, machine, launches):
         """Marks launches that are about to be sent directly; returns those sent for the first time.
 
         Until the worker answers, the launch can still arrive at any later time, even if a report has shown
@@ -169,7 +169,7 @@
         return fresh
 
     @staticmethod
-    def clear_unanswered(fresh):
+    def end_direct_send(fresh):
         """Clears the mark of launches that were answered or were never sent."""
         for task in fresh:
             task.loose_token = 0
--- a/roadhead/homes/faults.py
+++ b/roadhead/homes/faults.py
@@ -4,7 +4,7 @@
 
 log = logging.getLogger("roadhead.home")
 
-SUSPECT_REPORTS = 2  # report intervals given to owners to find out whether the job fails elsewhere too
+QUARANTINE_REPORTS = 2  # report intervals given to owners to find out whether the job fails elsewhere too
 MIN_FAILING_JOBS = 4  # so many jobs failing on one machine, with no success between, are not all at fault
 
 
@@ -21,7 +21,7 @@
         self._report_s = report_s
         self._drain = drain
         self._count = counters.add
-        self._suspects = {}  # suspected machines -> True; an ordered set
+        self._quarantined = {}  # quarantined machines -> True; an ordered set
 
     def exited(self, machine, task):
         """Updates the failure counts after a task of the machine has exited."""
@@ -29,22 +29,26 @@
         if not machine.busy():
             machine.idle_since = now
         if task.cause == "done":
-            machine.done_count += 1
+            machine.tasks_done += 1
             machine.errors.clear()
-            machine.suspect_count = 0
+            machine.quarantine_count = 0
             known.proven[task.job] = now
             known.faulty.pop(task.job, None)
-            self._clear_suspicion(machine)
+            self._end_quarantine(machine)
         elif task.cause == "error":
             machine.errors[task.job] = machine.errors.get(task.job, 0) + 1
-            if not machine.draining and not machine.suspect_until and sum(self._failure_counts(machine)) > 1:
+            if (
+                not machine.draining
+                and not machine.quarantined_until
+                and sum(self._failure_counts(machine)) > 1
+            ):
                 # Grant nothing for a while: the job's owner sees other machines too, and may find the job
                 # at fault.
-                machine.suspect_until = now + SUSPECT_REPORTS * self._report_s * 2 ** min(
-                    machine.suspect_count, 6
+                machine.quarantined_until = now + QUARANTINE_REPORTS * self._report_s * 2 ** min(
+                    machine.quarantine_count, 6
                 )
-                machine.suspect_count += 1
-                self._suspects[machine] = True
+                machine.quarantine_count += 1
+                self._quarantined[machine] = True
                 self._rooms.changed(machine)
 
     def _failure_counts(self, machine, proven=False):
@@ -59,18 +63,17 @@
             if job not in known.faulty and (not proven or job in known.proven)
         ]
 
-    def _clear_suspicion(self, machine):
-        if machine.suspect_until:
-            machine.suspect_until = 0.0
-            self._suspects.pop(machine, None)
+    def _end_quarantine(self, machine):
+        if machine.quarantined_until:
+            machine.quarantined_until = 0.0
+            self._quarantined.pop(machine, None)
             self._rooms.changed(machine)
 
-    def resolve_suspicion(self, machine):
-        """Drains the suspected machine if its failures are its own, else puts it back into use.
+    def evaluate(self, machine):
+        """Drains a quarantined machine if its failures are its own, else puts it back into use.
 
         They are its own after two failures in a row of jobs that succeed elsewhere, or when MIN_FAILING_JOBS
-        different jobs fail there. Each period of suspicion is twice as long as the last, up to 64 times the
-        first.
+        different jobs fail there. Each quarantine is twice as long as the last, up to 64 times the first.
         """
         if (
             sum(self._failure_counts(machine, True)) > 1
@@ -78,18 +81,18 @@
         ):
             log.info("machine %s drained: tasks of jobs %s failed there", machine.id, sorted(machine.errors))
             self._count("machines_faulty")
-            self._suspects.pop(machine, None)
+            self._quarantined.pop(machine, None)
             self._drain(machine)
         else:
-            self._clear_suspicion(machine)
+            self._end_quarantine(machine)
 
     def on_job_fails(self, job):
-        """Records that a job fails wherever it runs, and clears machines suspected because of it."""
+        """Records that a job fails wherever it runs, and ends quarantines that rest on it."""
         self._known.faulty[job] = self._loop.now()
-        for machine in list(self._suspects):
+        for machine in list(self._quarantined):
             if sum(self._failure_counts(machine)) < 2:
-                self._clear_suspicion(machine)
+                self._end_quarantine(machine)
 
     def let_go(self, machine):
         """Forgets a machine that this controller no longer leads."""
-        self._suspects.pop(machine, None)
+        self._quarantined.pop(machine, None)
--- a/roadhead/homes/hearing.py
+++ b/roadhead/homes/hearing.py
@@ -105,7 +105,7 @@
             return False
         now = self._loop.now()
         if machine.kind is None:
-            machine.set_kind(self._known.types.get(machine.type))
+            machine.set_type(self._known.types.get(machine.type))
         if report.session > machine.session:
             # A worker kills all its tasks before it begins a session, and refuses commands for earlier
             # sessions.
@@ -153,8 +153,8 @@
     def _take_tasks(self, machine, reported, confirmed):
         if confirmed and reported == machine.reported:
             return  # the same list as last time
-        machine.scans += 1
-        scan = machine.scans
+        machine.reports_read += 1
+        read_number = machine.reports_read
         by_name = machine.by_name
         changed = []
         for item in reported:
@@ -163,7 +163,7 @@
                 task = self._add_found_task(machine, item)
                 if task is None:
                     continue
-            task.last_scan = scan
+            task.last_read = read_number
             was = task.status
             if was == item.status and task.cause == item.cause and task.was_reported:
                 continue
@@ -172,7 +172,7 @@
             task.cause = item.cause
             task.saved = bool(item.saved)
             if item.status == "running" and (first or was != "running") and task.needs is not None:
-                machine.note_image_in_use(task.needs)
+                machine.note_image(task.needs)
             if task.status == EXITED and was != EXITED:
                 self._faults.exited(machine, task)
             if task.job in self._known.cancelled:
@@ -184,7 +184,7 @@
         if changed:
             self._news.states(machine, changed)
         if confirmed:
-            for task in [t for t in machine.tasks.values() if t.was_reported and t.last_scan != scan]:
+            for task in [t for t in machine.tasks.values() if t.was_reported and t.last_read != read_number]:
                 self._news.freed(machine, task, "not there")
             machine.reported = reported
 
--- a/roadhead/homes/home.py
+++ b/roadhead/homes/home.py
@@ -1,4 +1,4 @@
-"""The leader of machine shards: the only controller that commands their machines and grants their free room.
+"""The leader of shards: the only controller that commands their machines and grants their free capacity.
 
 No sockets here: reports, frames and answers come in as calls; frames go out through `send(label, frame)`, and
 `ask(machine)` requests a direct command request to a machine's worker.
@@ -29,9 +29,9 @@
 class Home:
     """Leads the machines of this controller's shards during one incarnation.
 
-    `rooms` grants free room, `hearing` takes in reports, `commanding` handles owners' frames,
-    `reconciliation` tracks what is not known yet after a shard came here. `lapse_s` is how long a grant
-    lasts unused; `need_spec(job)` is called for a job found on a machine but not known here.
+    `capacity_granter` grants free capacity, `report_processor` takes in reports, `task_commands` handles
+    owners' frames, `reconciliation` tracks what is not known yet after a shard came here. `lapse_s` is how
+    long a grant lasts unused; `need_spec(job)` is called for a job found on a machine but not known here.
     """
 
     def __init__(
@@ -153,7 +153,7 @@
             self._ask(machine)
 
     def on_handover_jobs(self, frame):
-        """Records owners and needs of jobs with tasks on machines that are about to be handed over."""
+        """Records owners and requirements of jobs with tasks on machines that are about to be handed over."""
         known = self.known
         for job, label, incarnation, cpus, gpus, memory, image, image_gb, save_s, saves in frame.rows:
             if self._member.term.serves(label, incarnation):
@@ -253,9 +253,9 @@
             self._ask(machine)
 
     def tick(self, sure_at):
-        """Handles ended leases, expired grants and suspected machines; returns machines to release.
+        """Handles ended leases, expired grants and quarantined machines; returns machines to release.
 
-        `sure_at`: as for `judge_leases`.
+        `term_confirmed_at`: as for `judge_leases`.
         """
         now = self._loop.now()
         lease_s = self._workers.lease_s
@@ -266,8 +266,8 @@
                 self._count("grants_lapsed")
                 self.rooms.revoke(machine)
                 self.rooms.offer(machine)
-            if machine.suspect_until and now >= machine.suspect_until and not machine.draining:
-                self.faults.resolve_suspicion(machine)
+            if machine.quarantined_until and now >= machine.quarantined_until and not machine.draining:
+                self.faults.evaluate(machine)
             if machine.todo and any(
                 task.forget and task.loose_token == machine.token for task in machine.todo.values()
             ):
@@ -287,9 +287,9 @@
     def judge_leases(self, sure_at):
         """Frees the tasks of machines whose lease has ended, and claims on machines never heard.
 
-        `sure_at`: until then, by the term in force, no other controller led these machines. So a lease that
-        was not renewed here and ended before `sure_at` has certainly ended. Sets `undecided` if other leases
-        ended after it.
+        `term_confirmed_at`: until then, by the term in force, no other controller led these machines. So a
+        lease that was not renewed here and ended before `term_confirmed_at` has certainly ended. Sets
+        `has_undecided_leases` if other leases ended after it.
         """
         now = self._loop.now()
         reconciliation = self.reconciliation
@@ -313,11 +313,11 @@
             reconciliation.free_claims(machine.id, "lease ended")
             machine.confirmed = 0
             reconciliation.unheard(machine)
-        self.undecided = reconciliation.free_claims_past_fence(sure_at) or undecided
+        self.undecided = reconciliation.expire_claims(sure_at) or undecided
         reconciliation.settle()
 
     def _note_lease_ended(self, machine, sure_at):
-        """Records the evidence for an ended lease; `sure_at`: as for `judge_leases`."""
+        """Records the evidence for an ended lease; `term_confirmed_at`: as for `judge_leases`."""
         now, answered = self._loop.now(), machine.lease.answered
         self._decisions.note(
             Decision.LEASE_ENDED,
@@ -344,7 +344,7 @@
         ]
 
     def plenty(self):
-        """Whether the machines in use have much free room that nobody wants."""
+        """Whether the machines in use have much free capacity that nobody wants."""
         held = spare = 0.0
         for machine in self.machines.values():
             if machine.active and machine.kind is not None:
@@ -354,7 +354,7 @@
                     spare += free
         return spare > SPARE_RATIO * held
 
-    def machines_per_shard(self):
+    def machines_by_shard(self):
         """{shard: number of its machines}."""
         counts = {}
         for machine in self.machines.values():
@@ -382,7 +382,7 @@
         return total, running, other, parked, granted
 
     def news(self):
-        """HomeNews rows for the fleet planner: machines by type, zone and spot, with their parked room."""
+        """MachineCounts rows for the fleet planner: machines by type, zone and spot, with ungranted capacity."""
         rows = {}
         for machine in self.machines.values():
             row = rows.setdefault((machine.type, machine.zone, machine.spot), [0, 0, 0.0, 0.0, 0.0])
--- a/roadhead/homes/machine.py
+++ b/roadhead/homes/machine.py
@@ -10,7 +10,7 @@
 
 
 class Needs(NamedTuple):
-    """What a shard leader must know of a job to run its tasks; `room` is (cpus, gpus, memory)."""
+    """What a shard leader must know of a job to run its tasks; `resources` is (cpus, gpus, memory)."""
 
     room: tuple
     image: str
@@ -20,7 +20,7 @@
 
 
 class Task:
-    """One attempt of a job's task on a machine. `needs` is None while unknown."""
+    """One attempt of a job's task on a machine. `requirements` is None while unknown."""
 
     __slots__ = (
         "attempt",
@@ -28,7 +28,7 @@
         "forget",
         "index",
         "job",
-        "last_scan",
+        "last_read",
         "loose_token",
         "name",
         "needs",
@@ -50,7 +50,7 @@
         self.saved = False
         self.needs = None
         self.was_reported = False
-        self.last_scan = 0  # number of the newest report scan that showed it
+        self.last_read = 0  # value of the machine's `reports_read` when a report last showed it
         self.name = None  # as the machine reports it, None before
         self.told = None  # (status, cause, owner) as last sent to the owner
         self.stop_grace = None
@@ -79,7 +79,7 @@
 class Machine:
     """State of one machine, its tasks and the commands still to be carried out there.
 
-    Free room, the number of active tasks and the tasks with pending commands are updated with each change
+    Free capacity, the number of active tasks and the tasks with pending commands are updated with each change
     instead of being computed anew. So tasks must be added, removed and changed through these methods only.
     """
 
@@ -92,7 +92,6 @@
         "_room",
         "active",
         "address",
-        "ask_again",
         "attempts",
         "born_at",
         "by_name",
@@ -100,7 +99,6 @@
         "confirmed_at",
         "declined",
         "direct_at",
-        "done_count",
         "draining",
         "errors",
         "grant_lapse_at",
@@ -116,17 +114,19 @@
         "lease",
         "listed_at",
         "notice_at",
+        "quarantine_count",
+        "quarantined_until",
         "reported",
-        "request_pending",
-        "scans",
+        "reports_read",
+        "request_again",
+        "request_in_flight",
         "sequence",
         "session",
         "share",
         "spot",
-        "suspect_count",
-        "suspect_until",
         "taken_on",
         "tasks",
+        "tasks_done",
         "todo",
         "token",
         "type",
@@ -158,32 +158,32 @@
         self.attempts = {}  # (job, index) -> how many of them are here
         self.by_name = {}  # (task's name, attempt) as reported -> Task
         self.reported = None  # newest confirmed task list, None once tasks were dropped since
-        self.scans = 0  # task lists compared with `tasks` so far
+        self.reports_read = 0  # task lists compared with `tasks` so far
         self.todo = {}  # tasks that may have commands to be carried out
         self.active = 0  # tasks not exited
         self._active_without_needs = 0  # active tasks whose needs are unknown
         self._cpus = self._gpus = self._memory = 0.0  # held by active tasks
         self._room = None
         self.images = {}  # image -> GB: seen in use there, newest last, bounded by the machine's cache
-        self.holder = None  # label of the controller that its room is granted to
+        self.holder = None  # label of the controller that its capacity is granted to
         self.grant_serial = 0
         self.grant_taken = 0
         self.grant_sent = None
         self.grant_lapse_at = 0.0
-        self.declined = {}  # label -> serial of its demand that had no use for the room
+        self.declined = {}  # label -> serial of its demand that had no use for the capacity
         self.idle_since = now
         self.draining = False
         self.taken_on = False
         self.errors = {}  # job -> its tasks failed here since the last success
-        self.suspect_count = 0  # how often it was suspected since the last success
-        self.suspect_until = 0.0  # nothing new starts before this, while its failures are looked into
-        self.done_count = 0
-        self.request_pending = False  # a direct request is queued or under way
-        self.ask_again = False  # another one is to follow it
+        self.quarantine_count = 0  # quarantines since the last success
+        self.quarantined_until = 0.0  # nothing new starts before this, while its failures are examined
+        self.tasks_done = 0
+        self.request_in_flight = False  # a direct request is queued or under way
+        self.request_again = False  # another one is to follow it
         self.direct_at = 0.0
 
     def room(self):
-        """Free (cpus, gpus, memory); none while the needs of a task are unknown."""
+        """Free (cpus, gpus, memory); none while the requirements of a task are unknown."""
         room = self._room
         if room is None:
             kind = self.kind
@@ -194,13 +194,13 @@
             self._room = room
         return room
 
-    def set_kind(self, kind):
+    def set_type(self, kind):
         """Sets the machine's type once the cloud's types are known."""
         self.kind = kind
         self._room = None
 
     def _adjust_held(self, task, sign):
-        """Adds an active task's needs to what is held (`sign` 1), or takes them off (-1)."""
+        """Adds an active task's requirements to what is held (`sign` 1), or takes them off (-1)."""
         self._room = None
         self.active += sign
         if task.needs is None:
@@ -254,12 +254,12 @@
         self.attempts = {}
 
     def set_status(self, task, status):
-        """Changes a task's status, and the held room with it."""
+        """Changes a task's status, and the held capacity with it."""
         was, task.status = task.status, status
         if (was == EXITED) != (status == EXITED):
             self._adjust_held(task, -1 if status == EXITED else 1)
 
-    def note_image_in_use(self, needs):
+    def note_image(self, needs):
         """Notes that a task uses the image; the machine evicts the images unused for longest."""
         if not needs.image:
             return
@@ -271,7 +271,7 @@
             size -= self.images.pop(next(iter(self.images)))
 
     def learn(self, task, needs):
-        """Sets the needs of a task whose needs were unknown."""
+        """Sets the requirements of a task, unknown until now."""
         held = task.status != EXITED
         if held:
             self._adjust_held(task, -1)
--- a/roadhead/homes/rooms.py
+++ b/roadhead/homes/rooms.py
@@ -1,4 +1,4 @@
-"""Free room: what controllers want, and the grants that put room on their idle lists.
+"""Free capacity: what controllers want, and the grants that put capacity on their idle lists.
 
 The scheme is JIQ-DIO, join-idle-queue (PAPER). No sockets here: frames from controllers come in as calls,
 frames go out through `send`.
@@ -7,13 +7,13 @@
 from roadhead.homes.machine import fits, times
 from roadhead.wire import frames
 
-DEMAND_PART_MARGIN = 1.2  # the other leaders' parked room may have shrunk since they told of it
+DEMAND_PART_MARGIN = 1.2  # the other leaders' free capacity may have shrunk since they told of it
 PLACE, CPUS, GPUS, MEMORY, COUNT, SPOT, ZONE, TYPES, STRICT = range(9)  # of a Demand's rows
-MAX_HOLD_WINDOWS = 2.5  # for which a machine's room is held back at most
+MAX_HOLD_WINDOWS = 2.5  # for which a machine's capacity is held back at most
 # Rows of one shape are merged only within a span of so many windows of the queue: those far behind must not
 # take the place of the first ones.
 MERGE_SPAN_WINDOWS = 1e3
-MAX_HELD_RATIO = 1 / 8  # of the machines may be held back at once for tasks larger than their free room
+MAX_HELD_RATIO = 1 / 8  # of the machines may be held back at once for tasks larger than their free capacity
 
 
 def row_fits(row, machine, room):
@@ -68,7 +68,7 @@
 
 
 class Rooms:
-    """Grants the free room of this leader's machines to controllers with waiting tasks.
+    """Grants the free capacity of this leader's machines to controllers with waiting tasks.
 
     `machines`: name -> Machine; `lapse_s`: how long a grant lasts unused; `random`: a random.Random.
     """
@@ -83,16 +83,16 @@
         self._count = counters.add
         self.demand = {}  # label -> Demand
         self.window_s = 0.0  # rows due within this time of one another are equally urgent
-        self.held = {}  # machine -> since when its room is held back for a larger task
+        self.held = {}  # machine -> since when its capacity is held back for a larger task
         self.parked = {}  # leader's label -> its free CPUs that are granted to nobody, as last told
         self._serial = 0
 
     def offerable(self, machine):
-        """Whether the machine's free room may be granted."""
+        """Whether the machine's free capacity may be granted."""
         return (
             machine.confirmed == machine.token
             and not machine.draining
-            and not machine.suspect_until
+            and not machine.quarantined_until
             and machine.notice_at is None
             and machine.kind is not None
         )
@@ -119,7 +119,7 @@
             self._send(holder, frames.Revoke(machine.id, machine.grant_serial))
 
     def changed(self, machine):
-        """Updates, offers or revokes the room of a machine after a change."""
+        """Updates, offers or revokes the capacity of a machine after a change."""
         if machine.holder is None:
             self.offer(machine)
         elif self.offerable(machine):
@@ -128,7 +128,7 @@
             self.revoke(machine)
 
     def _send_grant(self, machine):
-        """Tells the holder of the machine's room, if that has changed, and restarts the grant's expiry."""
+        """Tells the holder of the machine's capacity, if that has changed, and restarts the grant's expiry."""
         room = machine.room()
         state = (machine.grant_serial, machine.grant_taken, room)
         if state == machine.grant_sent:
@@ -153,13 +153,13 @@
 
     @staticmethod
     def _grant_order(machine):
-        """Sort key by which free room is granted: cheap and full machines first, so that others run empty."""
+        """Sort key by which free capacity is granted: cheap and full machines first, so that others run empty."""
         kind = machine.kind
         price = kind.spot_price if machine.spot and kind.spot_price is not None else kind.price
         return (round(price / max(kind.cpus, 1e-6), 3), machine.room()[0])
 
     def offer(self, machine):
-        """Grants the machine's room by the join rule: to a random controller with an empty idle list, as last
+        """Grants the machine's capacity by the join rule: to a random controller with an empty idle list, as last
         heard, else to any.
 
         Only controllers with a waiting row that fits take part, and of them those whose first such row comes
@@ -171,7 +171,7 @@
         if room[0] <= 0 and room[2] <= 0:
             return
         candidates = []  # (place in queue, label, strict) of each controller's first row that fits
-        larger = None  # the earliest row that the machine could run if it had more room free
+        larger = None  # the earliest row that the machine could run if it had more capacity free
         for label, demand in self.demand.items():
             if not demand.left or machine.declined.get(label) == demand.serial:
                 continue
@@ -188,7 +188,7 @@
         if larger is not None and larger[PLACE] < first_place and self._hold_back(machine, larger[COUNT]):
             return
         self.held.pop(machine.id, None)
-        # The room for a gang is not drawn at random: two gangs that share the room would both be stuck.
+        # Capacity for a gang is not drawn at random: two gangs that share it would both be stuck.
         eligible = [
             label
             for place, label, _strict in candidates
@@ -208,9 +208,9 @@
         self._send_grant(machine)
 
     def _hold_back(self, machine, count):
-        """Holds the machine's room back until a larger task fits; False if it must be granted now.
+        """Holds the machine's capacity back until a larger task fits; False if it must be granted now.
 
-        Without this a large task would start only once nothing smaller waits, since each piece of room is
+        Without this a large task would start only once nothing smaller waits, since each bit of capacity is
         taken as it becomes free. Few machines are held back at once, and none for long.
         """
         now = self._loop.now()
@@ -228,7 +228,7 @@
     # Frames from controllers
 
     def on_demand(self, label, frame):
-        """Takes in what waits at a controller, and grants it free room."""
+        """Takes in what waits at a controller, and grants it free capacity."""
         rows = {}
         for row in frame.rows:
             urgency, cpus, gpus, memory, count, spot, zone, types, run_s, *_renting, startable, place = row
@@ -256,7 +256,7 @@
         ]
         wanted = set(frame.images)
         machines.sort(key=lambda m: (wanted.isdisjoint(m.images), *self._grant_order(m)))
-        # Every leader hears the whole demand. Where there is more free room than that, each meets its part,
+        # Every leader hears the whole demand. Where there is more free capacity than that, each meets its part,
         # so that the machines last in this order run empty and can be released.
         spare = demand.left * (1.0 - self.part(sum(m.room()[0] for m in machines)))
         for machine in machines:
@@ -275,7 +275,7 @@
         self.returned(label, self._machines.get(frame.machine), frame.serial)
 
     def returned(self, label, machine, serial):
-        """Ends the grant of that serial, and offers the room to controllers that have not declined it."""
+        """Ends the grant of that serial, and offers the capacity to controllers that have not declined it."""
         if machine is None or machine.holder != label or machine.grant_serial != serial:
             return
         self._count("returns")
--- a/roadhead/homes/shard_reconciliation.py
+++ b/roadhead/homes/shard_reconciliation.py
@@ -69,7 +69,7 @@
         self._claims = {}  # name of a machine -> {(job, index, attempt): owner}
         self._syncs = []  # PendingSync, in order of arrival
         self._fences = {}  # shard led here -> Fence
-        self._unverified = {}  # shards that may not be clean -> True; an ordered set
+        self._unverified = {}  # shards that may not be reconciled -> True; an ordered set
         self._relief = Relief(member.label)
 
     def begin(self, term):
@@ -223,7 +223,7 @@
         return True
 
     def settled(self):
-        """Whether all shards are clean and no owner waits for an answer."""
+        """Whether all shards are reconciled and no owner waits for an answer."""
         return not self._syncs and self.clean()
 
     def _is_clean(self, fence):
@@ -293,8 +293,8 @@
             if asked_at >= fence.cover_from and name not in listed
         ]
 
-    def free_claims_past_fence(self, sure_at):
-        """Frees claims on unknown machines whose fence had passed by `sure_at` (see Home.judge_leases).
+    def expire_claims(self, sure_at):
+        """Frees claims on unknown machines whose fence ended by `term_confirmed_at` (ShardLeader.judge_leases).
 
         Nobody but this leader can have renewed their leases since. Returns whether fences passed after it.
         """
--- a/roadhead/homes/workers.py
+++ b/roadhead/homes/workers.py
@@ -34,10 +34,10 @@
 
     def ask(self, machine):
         """Sends the machine its pending commands, or only shows it the token of its new leader."""
-        if machine.request_pending:
-            machine.ask_again = True
+        if machine.request_in_flight:
+            machine.request_again = True
             return
-        machine.request_pending = True
+        machine.request_in_flight = True
         heard_at = machine.heard_at
         silent = heard_at is None or self._loop.now() - heard_at > self._silent_s
         self._queues[silent][machine] = True
@@ -56,7 +56,7 @@
         home = self.home
         try:
             while True:
-                machine.ask_again = False
+                machine.request_again = False
                 if home.machines.get(machine.id) is not machine or not self._member.joined:
                     return
                 if not self._may_command():
@@ -68,10 +68,10 @@
                     return
                 if home.machines.get(machine.id) is machine and self._member.joined:
                     home.hearing.observe(machine, report)
-                if not machine.ask_again:
+                if not machine.request_again:
                     return
         finally:
-            machine.request_pending = False
+            machine.request_in_flight = False
             self._asking[silent] -= 1
             self._next()
 
@@ -98,15 +98,15 @@
                 return None
             session = machine.session or 1
             body = messages.commands(machine.token, session, orders)
-            fresh = self.home.commanding.note_launches_sent(machine, launches)
+            fresh = self.home.commanding.begin_direct_send(machine, launches)
             try:
                 status, data, _headers = await client.request("POST", "/commands", body, self._timeout_s)
             except NoAnswer as error:
                 log.debug("commands to %s: %s", machine.id, error)
                 if not error.sent:
-                    self.home.commanding.clear_unanswered(fresh)
+                    self.home.commanding.end_direct_send(fresh)
                 return None
-            self.home.commanding.clear_unanswered(fresh)
+            self.home.commanding.end_direct_send(fresh)
             if orders and not (self._member.joined and self._may_command()):
                 # The request named the session: if it arrived late, that session's lease bounds what it did.
                 self._decisions.count("authority_lost")
--- a/roadhead/membership/authority.py
+++ b/roadhead/membership/authority.py
@@ -50,7 +50,7 @@
                 link = self._peers.outside.get(label)
             if link is None:
                 return None
-            heard_at = min(heard_at, link.last_beat_at)
+            heard_at = min(heard_at, link.last_heartbeat_at)
         return heard_at - SILENT_BEATS * self._beat_s
 
 
--- a/roadhead/membership/peers.py
+++ b/roadhead/membership/peers.py
@@ -18,13 +18,13 @@
     """`heard_at` tells silence; `spoke_at` is when the last beat came: what the other side knew when it
     sent that was on the link before it."""
 
-    __slots__ = ("deaf", "heard_at", "incarnation", "last_beat_at", "state_ok", "stream", "term", "used")
+    __slots__ = ("deaf", "heard_at", "incarnation", "last_heartbeat_at", "state_ok", "stream", "term", "used")
 
     def __init__(self, stream, incarnation, now):
         self.stream = stream
         self.incarnation = incarnation
         self.heard_at = now
-        self.last_beat_at = -1e9
+        self.last_heartbeat_at = -1e9
         self.term = 0  # number of the term served there
         self.state_ok = True
         self.deaf = False
@@ -59,7 +59,7 @@
         for label in self._addresses:
             if self.label < label:
                 self._loop.spawn(self._dial(label), f"dial {label}")
-        self._loop.spawn(self._send_beats(), "beats")
+        self._loop.spawn(self._send_heartbeats(), "beats")
 
     def _accept(self, stream):
         if self._accepted > 8 * (len(self._addresses) + 1):
@@ -118,7 +118,7 @@
                     link.heard_at = self._loop.now()
                     if type(frame) is Beat:
                         if not self._loop.catching_up:
-                            link.last_beat_at = link.heard_at
+                            link.last_heartbeat_at = link.heard_at
                         link.term = frame.term
                         link.state_ok = frame.state_ok
                         link.deaf = frame.deaf
@@ -148,7 +148,7 @@
             del self.links[label]
             self._on_down(label)
 
-    async def _send_beats(self):
+    async def _send_heartbeats(self):
         while True:
             await self._loop.sleep(self._beat_s)
             limit = self._loop.now() - SILENT_BEATS * self._beat_s
--- a/roadhead/shares/keeper.py
+++ b/roadhead/shares/keeper.py
@@ -54,7 +54,7 @@
         if member.lapsed():
             return
         if not self._move_pending and home.reconciliation.settled():
-            moves = step(term.shares, self._label, self._takers(term), home.machines_per_shard())
+            moves = step(term.shares, self._label, self._takers(term), home.machines_by_shard())
             if moves:
                 self._move_pending = True
                 self._loop.spawn(self._move(moves), "move shares")
