--- a/roadhead/homes/__init__.py
+++ b/roadhead/homes/__init__.py
@@ -1,1 +1,1 @@
-"""Machines homed at this controller: reports, leases, commands and grants."""
+"""Leads machine shards: workers' reports, leases, commands and capacity grants."""
--- a/roadhead/homes/home.py
+++ b/roadhead/homes/home.py
@@ -382,7 +382,7 @@
         return total, running, other, parked, granted
 
     def news(self):
-        """MachineCounts rows for the fleet planner: machines by type, zone and spot, with ungranted capacity."""
+        """MachineCounts rows for the fleet planner: machines by type, zone and spot, with free capacity."""
         rows = {}
         for machine in self.machines.values():
             row = rows.setdefault((machine.type, machine.zone, machine.spot), [0, 0, 0.0, 0.0, 0.0])
--- a/roadhead/homes/rooms.py
+++ b/roadhead/homes/rooms.py
@@ -128,7 +128,7 @@
             self.revoke(machine)
 
     def _send_grant(self, machine):
-        """Tells the holder of the machine's capacity, if that has changed, and restarts the grant's expiry."""
+        """Tells the grant's holder if the free capacity has changed, and restarts the grant's expiry."""
         room = machine.room()
         state = (machine.grant_serial, machine.grant_taken, room)
         if state == machine.grant_sent:
@@ -153,16 +153,16 @@
 
     @staticmethod
     def _grant_order(machine):
-        """Sort key by which free capacity is granted: cheap and full machines first, so that others run empty."""
+        """Sort key of machines to grant: cheap and full ones first, so that others run empty."""
         kind = machine.kind
         price = kind.spot_price if machine.spot and kind.spot_price is not None else kind.price
         return (round(price / max(kind.cpus, 1e-6), 3), machine.room()[0])
 
     def offer(self, machine):
-        """Grants the machine's capacity by the join rule: to a random controller with an empty idle list, as last
-        heard, else to any.
+        """Grants the machine's capacity by the join rule of JIQ.
 
-        Only controllers with a waiting row that fits take part, and of them those whose first such row comes
+        It goes to a random controller whose idle list was empty when last heard of, else to any. Only
+        controllers with a waiting row that fits take part, and of them those whose first such row comes
         earliest.
         """
         if machine.holder is not None or not self.offerable(machine):
@@ -256,8 +256,8 @@
         ]
         wanted = set(frame.images)
         machines.sort(key=lambda m: (wanted.isdisjoint(m.images), *self._grant_order(m)))
-        # Every leader hears the whole demand. Where there is more free capacity than that, each meets its part,
-        # so that the machines last in this order run empty and can be released.
+        # Every leader hears the whole demand. Where there is more free capacity than that, each meets its
+        # part, so that the machines last in this order run empty and can be released.
         spare = demand.left * (1.0 - self.part(sum(m.room()[0] for m in machines)))
         for machine in machines:
             if demand.left <= spare:
--- a/roadhead/homes/shard_reconciliation.py
+++ b/roadhead/homes/shard_reconciliation.py
@@ -217,7 +217,7 @@
         """Whether every machine of this leader was heard under its token or is gone (safety 3)."""
         while self._unverified:
             share = next(iter(self._unverified))
-            if not self._is_clean(self._fences[share]):
+            if not self._is_shard_reconciled(self._fences[share]):
                 return False
             del self._unverified[share]
         return True
@@ -226,7 +226,7 @@
         """Whether all shards are reconciled and no owner waits for an answer."""
         return not self._syncs and self.clean()
 
-    def _is_clean(self, fence):
+    def _is_shard_reconciled(self, fence):
         """Whether all tasks of a fence's shard are known."""
         if not fence.covered:
             return False
@@ -294,7 +294,7 @@
         ]
 
     def expire_claims(self, sure_at):
-        """Frees claims on unknown machines whose fence ended by `term_confirmed_at` (ShardLeader.judge_leases).
+        """Frees claims on unknown machines whose fence ended before `term_confirmed_at`.
 
         Nobody but this leader can have renewed their leases since. Returns whether fences passed after it.
         """
--- a/roadhead/homes/spec_lookup.py
+++ b/roadhead/homes/spec_lookup.py
@@ -29,7 +29,7 @@
         self._pending_jobs.clear()
 
     def need(self, job_id):
-        """Starts a lookup, after which the ShardLeader is told the job's requirements, or that the job is over."""
+        """Starts a lookup, after which the ShardLeader is told the requirements, or that the job is over."""
         if job_id not in self._pending_jobs:
             self._pending_jobs.add(job_id)
             self._loop.spawn(self._look_up(job_id, self._home), f"look up {job_id}")
--- a/roadhead/membership/__init__.py
+++ b/roadhead/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who serves: the term record, the lease behind each member, links between controllers."""
+"""Cluster membership: the term record, the members' leases, and the links between controllers."""
--- a/roadhead/membership/authority.py
+++ b/roadhead/membership/authority.py
@@ -1,17 +1,21 @@
-"""By what this controller may act: until when all that users were told, and the term in force, are known.
+"""What this controller may do: whether it may command workers, and which leases have certainly ended.
 
-Both rest on the state service, or on all other controllers while that does not answer (safety 4 in
+Both depend on how recent its knowledge is of cancellations told to users and of the term in force. It learns
+them from the state service, or from all other controllers while that does not answer (safety 4 in
 docs/design.md).
 """
 
 from roadhead.membership.touch import KEPT, SILENT_BEATS, Touch
 
-OUT_OF_TOUCH_RATIO = 0.8  # of what `cancel_s` leaves beside a worker's lease
+OUT_OF_TOUCH_RATIO = 0.8  # of the time that `cancel_s` leaves beside a worker's lease
 
 
 class Authority:
-    """`others`: labels of all other configured controllers; `workers`: the settings' times for them, in
-    seconds; `beat_s`: between two heartbeats of a link."""
+    """Tells whether this controller may act on its machines.
+
+    `others`: labels of all other configured controllers; `workers`: the settings' times for workers, in
+    seconds; `heartbeat_s`: seconds between two heartbeats of a link.
+    """
 
     def __init__(self, loop, member, peers, others, workers, beat_s):
         self._loop = loop
@@ -22,26 +26,29 @@
         self._touch = Touch(blind_for_s(workers), KEPT * workers.cancel_s)
 
     def may_renew(self):
-        """Whether workers' leases may be renewed, and workers commanded.
+        """Whether workers' leases may be renewed and workers commanded.
 
-        A controller that can learn neither from the state service nor from every other one that a job was
-        cancelled must let go of its machines in time (safety 4).
+        A controller that can learn of cancellations neither from the state service nor from every other
+        controller must release its machines in time (safety 4).
         """
         self._touch.look(self._member.watched_at, self.heard_at())
         return self._touch.fresh(self._loop.now())
 
     def sure_at(self):
-        """Until then no other controller can have renewed the workers of machines homed here: the term known
-        here was the one in force, by the state service or by all who could have changed it."""
+        """Until when no other controller can have renewed the leases of machines led here.
+
+        The term known here was in force until then, by the state service or by all controllers that could
+        have changed it.
+        """
         heard_at = self.heard_at()
         return self._member.term_at if heard_at is None else max(self._member.term_at, heard_at)
 
     def heard_at(self):
-        """By then all other controllers had sent the last beat heard of them; None if one can't be heard.
+        """A time after which each other controller sent a heartbeat that was heard; None if one is not heard.
 
-        All that are configured, not those of the term known here: one that it does not name may have
-        joined since without our knowing, and taken what is ours. Of such a one it must be heard that it is
-        no member.
+        That means all configured controllers, not only the members of the term known here: a controller that
+        this term does not name may have joined since and taken over what is led here. Of such a one it must
+        be heard that it is no member.
         """
         heard_at = self._loop.now()
         for label in self._others:
@@ -55,5 +62,5 @@
 
 
 def blind_for_s(workers):
-    """For how long a controller out of touch may go on: its workers' leases end before `cancel_s` is up."""
+    """Seconds that a controller out of touch may go on; its workers' leases then end within `cancel_s`."""
     return OUT_OF_TOUCH_RATIO * (workers.cancel_s - workers.lease_s)
--- a/roadhead/membership/gate.py
+++ b/roadhead/membership/gate.py
@@ -1,27 +1,29 @@
-"""The gate: the format of records in force, raised once every configured controller was seen to know it.
+"""The format gate: which format of records may be written while controllers of several versions run.
 
-What an older version could misread is written only behind it. The record is durable and only rises:
-a controller that was seen, and ended, comes back as it was seen; one that ended before its turn comes
-back old, so that those alive do not count alone. Pure decisions, and what this process knows.
+What an older version could misread is written only once every configured controller was seen running a
+version that knows it. The gate's record is durable, and the format in it only rises. A controller that ended
+comes back as it was last seen, and one that was never seen counts as old. So a gate does not open just
+because only new controllers are alive. No input or output here.
 """
 
 GATE = "c/format"
-BEFORE = 3  # in force where there is no record: that of the version before this gate
+BEFORE = 3  # in force without a record: the format of the version before the gate
 
 
 def following(record, labels, present, knows, now):
-    """The record that may be written next, or None if there is nothing to change.
+    """The record to be written next, or None if nothing changes.
 
     `record`: {"format": in force, "seen": {label: [format, since]}} or None; `labels`: the configured
-    members; `present`: {label: format} of those alive now; `knows`: the format of this process.
+    members; `present`: {label: format} of the controllers alive now; `knows`: the format of this process;
+    `now`: the time of day in seconds.
     """
     force, seen = (record["format"], record["seen"]) if record is not None else (BEFORE, {})
     if force >= knows:
         return None
     known = {label: entry for label, entry in seen.items() if label in labels}
     for label in labels:
-        # One that is not there keeps what it was seen with; one that went back to the old version counts
-        # as old again.
+        # A controller that is away keeps the format that it was seen with. One that went back to the old
+        # version counts as old again.
         if label in present and (label not in known or known[label][0] != present[label]):
             known[label] = [present[label], round(now, 1)]
     least = min(known.get(label, (0, 0))[0] for label in labels)
@@ -32,7 +34,7 @@
 
 
 class Gate:
-    """What this process knows of the gate. `knows`: the format that it writes behind it."""
+    """What this process knows of the gate. `knows`: the newest format that it can read and write."""
 
     def __init__(self, knows, labels):
         self.knows = knows
@@ -41,35 +43,36 @@
         self.stamp = 0
 
     def take(self, record, stamp):
-        """The record as read, or seen by the watch."""
+        """Takes in the gate's record, read or watched at that revision, if it is newer."""
         if stamp > self.stamp:
             self.record, self.stamp = record, stamp
 
     @property
     def force(self):
+        """The format in force."""
         return self.record["format"] if self.record is not None else BEFORE
 
     @property
     def open(self):
-        """Whether all may write what this version is the first to know."""
+        """Whether records of this version's newest format may be written."""
         return self.force == self.knows
 
     @property
     def outdated(self):
-        """Whether what is in force is newer than this process: it may touch nothing."""
+        """Whether the format in force is newer than this process knows, which must not touch records then."""
         return self.force > self.knows
 
     def unseen(self):
-        """Configured members not seen with what this process knows."""
+        """Configured members not yet seen with the format of this process."""
         seen = self.record["seen"] if self.record is not None else {}
         return [label for label in self._labels if seen.get(label, (0, 0))[0] < self.knows]
 
     def following(self, present, now):
-        """As the function, for this process."""
+        """The record to be written next by this process, or None (see the function)."""
         return following(self.record, self._labels, present, self.knows, now)
 
     def told(self, now):
-        """For operators: the format in force, and each configured member with what it was seen with."""
+        """The gate for operators: the format in force, and with which format each member was last seen."""
         seen = self.record["seen"] if self.record is not None else {}
         return {
             "format": self.force,
--- a/roadhead/membership/member.py
+++ b/roadhead/membership/member.py
@@ -1,4 +1,4 @@
-"""This process's place in the term: its lease, joining, watching, dropping the dead."""
+"""This process's membership: joining, its lease, watching the term, and dropping members that have ended."""
 
 import logging
 import secrets
@@ -15,12 +15,16 @@
 MEMBER = "c/m/"
 CANCEL = "c/x/"
 TENANT = "c/t/"
-CLOCK_DRIFT = 0.0005
+CLOCK_DRIFT = 0.0005  # largest relative drift between two steady clocks
 
 
 class Member:
-    """Callbacks: `on_term(old, new)` for each adopted term, `on_lost()` when this
-    incarnation was dropped, `on_cancel(jobs)` for cancellations seen."""
+    """Keeps this controller a member and its knowledge of the term up to date.
+
+    `lease_s`: of the member's lease; `watch_s`: for how long one watch request waits. Callbacks:
+    `on_term(old, new)` for each adopted term, `on_lost()` when this incarnation was dropped,
+    `on_cancel(jobs)` for cancellations seen, `on_tenant(key, record, revision)` for tenants' records.
+    """
 
     def __init__(
         self,
@@ -47,43 +51,47 @@
         self._on_cancel = on_cancel
         self.gate = gate
         self._time_of_day = time_of_day
-        self._slots = slots  # of wardens, in a term that has fewer
-        self._on_tenant = on_tenant  # (key, record, stamp) of a tenant's record, or None
+        self._slots = slots  # least number of quota partitions in a term that this process joins
+        self._on_tenant = on_tenant  # None where no tenants are served
         self.term = None
         self.revision = 0
         self.incarnation = 0
-        self.replaced = False  # whether this label was a home until this incarnation joined
+        self.replaced = False  # whether this label led shards until this incarnation joined
         self._lease_id = None
-        self.renewed_at = -1e9
-        self.watched_at = -1e9  # send time of the newest watch or listing that was answered
-        self.term_at = -1e9  # until then the term known here was surely the one in force
-        self._live_formats = {}  # label -> newest format of records that it knows
-        self._cancel_marks = {}  # key of a cancellation's mark -> since when it was seen here
+        self.renewed_at = -1e9  # when the newest successful renewal of the lease was sent
+        self.watched_at = -1e9  # when the newest answered watch or listing was sent
+        self.term_at = -1e9  # until then the term known here was certainly the one in force
+        self._live_formats = {}  # label of a live controller -> newest format of records that it knows
+        self._cancel_marks = {}  # key of a cancellation mark -> since when it is known here
         self._lost = Signal()
         self._absence = Signal()
         self._amendment_wanted = Signal()
-        self._amendments = []  # (method of Term, its arguments)
+        self._amendments = []  # (name of a method of Term, its arguments)
         self._logged_outdated = self._gate_write_pending = False
-        self._shards_offered = set()  # shares that a transaction under this term may have given away
-        self._leaving = False  # this process gives all up and joins no more
-        self._not_before = {}  # amendment -> when it may be wanted again
+        self._shards_offered = set()  # shards that a transaction under this term may have given away
+        self._leaving = False  # this process gives everything up and does not join again
+        self._not_before = {}  # amendment -> when it may be requested again
 
     @property
     def joined(self):
+        """Whether this process is a member."""
         return self.incarnation != 0
 
     def lapsed(self):
-        """True if the lease may have ended: others may go on without this member."""
+        """Whether the lease may have ended, so that others may go on without this member."""
         return self._loop.now() - self.renewed_at > self._lease_s * (1 - CLOCK_DRIFT)
 
     def takes_on(self, share):
-        """Whether a machine of a share that the term gives to this member may be heard for the first time:
-        nobody else can be its home by now, as after a lapse, or a move whose outcome is not known. A new
-        home does not wait for machines that came up since it was their home (safety 3)."""
+        """Whether machines of a shard that the term gives to this member may be heard for the first time.
+
+        They may not while another controller may lead the shard by now, as after an ended lease, or a move
+        whose outcome is unknown. A new leader does not wait for machines that came up since it leads (safety
+        3).
+        """
         return not (self.lapsed() or self._leaving or share in self._shards_offered)
 
     def adopt(self, record, revision):
-        """Takes a term record that is newer than the one known."""
+        """Takes over a term record if it is newer than the one known."""
         if revision <= self.revision:
             return
         self._shards_offered.clear()
@@ -91,14 +99,14 @@
         if not self.joined:
             return
         if not self.term.serves(self.label, self.incarnation):
-            log.info("dropped by term %d", self.term.number)
+            log.info("this incarnation was dropped by term %d", self.term.number)
             self._lose()
             return
-        log.info("term %d: %s", self.term.number, sorted(self.term.members))
+        log.info("term %d: members %s", self.term.number, sorted(self.term.members))
         self._on_term(old, self.term)
 
     async def run(self):
-        """Joins, serves until dropped, and joins again as a new incarnation."""
+        """Joins, serves until dropped, and joins again as a new incarnation, until it leaves."""
         while not self._leaving:
             try:
                 if not await self._join():
@@ -118,7 +126,7 @@
                     duty.cancel()
 
     async def _join(self):
-        """True once joined; False if this version may not serve what is stored."""
+        """Returns True once joined; False if the records' format is newer than this version knows."""
         sent_at = self._loop.now()
         self._lease_id = await self._state.lease(self._lease_s)
         nonce = secrets.token_hex(6)
@@ -129,7 +137,7 @@
                 if not self._logged_outdated:
                     self._logged_outdated = True
                     log.error(
-                        "the records are of format %d, this version knows %d: it serves nothing",
+                        "can't join: the records have format %d, this version knows %d",
                         self.gate.force,
                         self.gate.knows,
                     )
@@ -138,7 +146,7 @@
             term = self.term or Term()
             entry = term.members.get(self.label)
             if entry is not None and entry[2] == nonce:
-                break  # an earlier try went through although its answer was lost
+                break  # an earlier try succeeded although its answer was lost
             self.replaced = entry is not None and self.label not in term.relieved
             new = term.spread(self._slots).join(self.label, nonce)
             try:
@@ -158,32 +166,36 @@
         self.renewed_at = sent_at
         self.incarnation = entry[0]
         self._lost = Signal()
-        log.info("joined term %d as %d", self.term.number, self.incarnation)
+        log.info("joined term %d as incarnation %d", self.term.number, self.incarnation)
         self._on_term(None, self.term)
         if self.term.members.keys() - self._live_formats:
             self._absence.set()
         return True
 
     def _entry(self, incarnation):
+        """This member's record, which exists as long as its lease."""
         return {"incarnation": incarnation, "format": self.gate.knows}
 
     def _take_gate(self, record, stamp):
+        """Takes in the format gate's record; stops serving if this version is too old for it."""
         was = self.gate.force
         self.gate.take(record, stamp)
         if self.gate.force != was:
-            log.info("format %d is in force", self.gate.force)
+            log.info("format %d of records is in force", self.gate.force)
         if self.gate.outdated and self.joined:
             self._lose()
 
     def _lose(self):
-        """This incarnation serves no more."""
+        """Ends this incarnation's service."""
         self.incarnation = 0
         self._lost.set()
         self._on_lost()
 
     def raise_gate(self):
-        """Writes down what versions were seen, and opens the gate once all are new: one of the members
-        that know the newest does it."""
+        """Records which formats the live controllers know, and raises the format in force once all know it.
+
+        Of the members that know the newest format, the one with the smallest label does this.
+        """
         newest = [
             label for label in sorted(self.term.members) if self._live_formats.get(label) == self.gate.knows
         ]
@@ -195,7 +207,7 @@
             self._loop.spawn(self._raise_gate(record), "gate")
 
     async def _raise_gate(self, record):
-        # Whoever joins changes the term: none that was not looked at is a member then.
+        # A controller that joins changes the term, so the condition on it excludes members not looked at.
         try:
             stamp = await self._state.multi(
                 [(GATE, self.gate.stamp), (TERM, self.revision)], [{"put": GATE, "data": record}]
@@ -207,6 +219,7 @@
             self._gate_write_pending = False
 
     async def _read_all(self):
+        """Reads all records below PREFIX and takes them in, as the start of a watch."""
         sent_at = self._loop.now()
         items, revision = await self._state.list(PREFIX)
         self._entry_stamp = next((stamp for key, _value, stamp in items if key == MEMBER + self.label), 0)
@@ -228,6 +241,7 @@
         self._note_watched(sent_at)
 
     def _note_watched(self, sent_at):
+        """Notes that the state as of `sent_at` is known."""
         self.watched_at = max(self.watched_at, sent_at)
         self.term_at = max(self.term_at, sent_at)
 
@@ -240,14 +254,15 @@
         self.term_at = max(self.term_at, sent_at)
 
     async def _renew(self):
+        """Renews the lease for ever."""
         while True:
             sent_at = self._loop.now()
             try:
                 await self._state.touch(self._lease_id)
                 self.renewed_at = sent_at
             except LeaseGone:
-                # The lease ended, but nobody may have dropped us yet: if so, stay under
-                # a new lease, else the term read here shows that we are out.
+                # The lease has ended, but perhaps no other member has dropped this one yet. If so, it stays
+                # a member with a new lease, else the term that is read here shows that it was dropped.
                 await self._new_lease()
             except (Unavailable, Unsure) as error:
                 log.debug("renewal: %r", error)
@@ -256,30 +271,32 @@
             await self._loop.sleep(max(0.0, sent_at + self._lease_s / 4 - self._loop.now()))
 
     async def _new_lease(self):
+        """Ties this member's record to a new lease, unless the member was dropped."""
         try:
             sent_at = self._loop.now()
-            permit = await self._state.lease(self._lease_s)
+            lease_id = await self._state.lease(self._lease_s)
             await self._read_all()
             if not self.joined:
                 return
-            # Without its own stamp an earlier try could take effect late, and tie the entry to a lease that
-            # nobody renews.
+            # The condition on the record's own revision keeps an earlier try from taking effect later and
+            # tying the record to a lease that nobody renews.
             await self._state.multi(
                 [(TERM, self.revision), (MEMBER + self.label, self._entry_stamp)],
                 [
                     {
                         "put": MEMBER + self.label,
                         "data": self._entry(self.incarnation),
-                        "permit": permit,
+                        "permit": lease_id,
                     }
                 ],
             )
-            self._lease_id, self.renewed_at = permit, sent_at
+            self._lease_id, self.renewed_at = lease_id, sent_at
         except (Unavailable, Unsure, Conflict, LeaseGone) as error:
             log.debug("new lease: %r", error)
             await self._loop.sleep(self._lease_s / 24)
 
     async def _watch(self):
+        """Watches all records below PREFIX for ever, and takes their changes in."""
         while True:
             sent_at = self._loop.now()
             try:
@@ -322,15 +339,20 @@
                 self._on_cancel(cancelled)
 
     async def newest_cancellation_at(self):
-        """When the last cancellation became known here of a job that may have tasks yet, None without any;
-        of all that were durable when this was called. Raises Unavailable or Unsure."""
+        """When the newest cancellation mark became known here, None if there are no marks.
+
+        Considers all marks that were durable when this was called; a mark exists while tasks of its job may
+        run. Raises Unavailable or Unsure.
+        """
         items, _revision = await self._state.list(CANCEL)
         now = self._loop.now()
         return max((self._cancel_marks.get(key, now) for key, _value, _stamp in items), default=None)
 
     def stale_marks(self, age_s):
-        """Keys of cancellations' marks that have been there for so long that nobody needs them: whose
-        owner ended before it could drop them. One member names them."""
+        """Keys of cancellation marks older than `age_s`, which nobody needs any more.
+
+        Their owners ended before they could delete them. Only the member with the smallest label gets any.
+        """
         before = self._loop.now() - age_s
         return (
             [key for key, since in self._cancel_marks.items() if since <= before]
@@ -339,7 +361,7 @@
         )
 
     async def _drop_absent(self):
-        """Drops members whose key is gone, in one transaction that checks that it is."""
+        """Drops members whose record is gone, in one transaction that checks that it is."""
         while True:
             await self._absence.wait()
             while self.joined and (absent := self.term.members.keys() - self._live_formats - {self.label}):
@@ -348,7 +370,7 @@
                 absent &= self.term.members.keys() - self._live_formats
                 if not absent:
                     continue
-                log.info("dropping %s", sorted(absent))
+                log.info("dropping members whose lease has ended: %s", sorted(absent))
                 new = self.term.drop(absent)
                 try:
                     await self._write_term(new, ((MEMBER + label, 0) for label in absent))
@@ -361,18 +383,19 @@
                         pass
 
     def request_new_token(self, share):
-        """Asks for a higher token, so that unanswered commands can't be executed any more."""
+        """Requests a higher token for a shard, so that unanswered commands can't be executed any more."""
         self._request_amendment("raise_share", share)
 
     def relieve(self, label):
-        """Workers of a member that is otherwise well can't reach it: others shall be their homes."""
+        """Requests other leaders for the shards of a live member that workers can't reach."""
         self._request_amendment("relieve", label)
 
     def restore(self):
-        """Workers reach this member again."""
+        """Requests that this member may lead shards again, as workers reach it."""
         self._request_amendment("restore", self.label)
 
     def _request_amendment(self, *amendment):
+        """Requests a change of the term: a method of Term and its arguments, at most once in two leases."""
         now = self._loop.now()
         if now >= self._not_before.get(amendment, 0.0):
             self._not_before[amendment] = now + 2 * self._lease_s
@@ -380,8 +403,7 @@
             self._amendment_wanted.set()
 
     async def _write_term(self, new, conditions=(), writes=()):
-        """Puts the next term in the place of the one known, and adopts it. Raises what
-        `StateClient.multi` does."""
+        """Replaces the known term by the next one, and adopts it. Raises what StateClient.multi does."""
         record = new.to_record()
         revision = await self._state.multi(
             [(TERM, self.revision), *conditions], [{"put": TERM, "data": record}, *writes]
@@ -389,7 +411,7 @@
         self.adopt(record, revision)
 
     async def give(self, slots):
-        """Hands slots of wardens on: True if it is so, False if not, None if that is not known."""
+        """Hands quota partitions over; returns True on success, False on failure, None if unknown."""
         new = self.term.give(slots)
         try:
             await self._write_term(new)
@@ -397,14 +419,14 @@
             return False
         except Unsure:
             return None
-        log.info("handed on slots of wardens: %s", slots)
+        log.info("handed over quota partitions: %s", slots)
         return True
 
     async def move(self, moves):
-        """Gives shares away ({share: label}): whether it is so is told by the next term.
+        """Gives shards away ({shard: label}); the next term shows whether it succeeded.
 
-        Asked for again as long as the term is the same, it is the same transaction: one of them takes
-        effect at most, however late.
+        Repeated under the same term, it is the same transaction, of which at most one takes effect, however
+        late.
         """
         new = self.term.move(moves, self.label)
         if new is self.term:
@@ -413,11 +435,14 @@
         try:
             await self._write_term(new)
         except (Unavailable, Conflict, Unsure) as error:
-            log.debug("move of shares: %r", error)
+            log.debug("moving shards: %r", error)
 
     async def leave(self):
-        """Gives up what this member holds, first its shares, so that it can hand them over, then its place:
-        its jobs fall to heirs at once. Returns once it is out, or if there is nobody to give it to."""
+        """Gives up what this member leads and owns.
+
+        First the shards, so that it can hand their machines over, then its membership, after which successors
+        take over its jobs at once. Returns once it is out, or if there is no other member to give them to.
+        """
         self._leaving = True
         while self.joined and (others := self.term.homes - {self.label}):
             if moves := self.term.shares.spread({self.label}, others):
@@ -426,7 +451,7 @@
                     await self._loop.sleep(self._lease_s / 24)
                     continue
             new = self.term.drop({self.label})
-            log.info("leaving: term %d", new.number)
+            log.info("leaving, by term %d", new.number)
             try:
                 await self._write_term(new, writes=[{"drop": MEMBER + self.label}])
             except (Unavailable, Conflict, Unsure) as error:
@@ -434,6 +459,7 @@
                 await self._loop.sleep(self._lease_s / 24)
 
     async def _amend_term(self):
+        """Writes requested amendments of the term, several at once if there are."""
         while True:
             await self._amendment_wanted.wait()
             amendments, self._amendments = self._amendments, []
@@ -447,5 +473,5 @@
                 await self._write_term(new)
             except (Unavailable, Unsure, Conflict) as error:
                 log.debug("amendment: %r", error)
-                for amendment in amendments:  # wanted again soon, if it still is
+                for amendment in amendments:  # may be requested again soon
                     self._not_before[amendment] = self._loop.now() + self._lease_s / 12
--- a/roadhead/membership/peers.py
+++ b/roadhead/membership/peers.py
@@ -1,7 +1,7 @@
-"""Links between controllers: one connection a pair, dialled by the smaller label.
+"""Links between controllers: one connection for each pair, dialled by the smaller label.
 
-A controller that is no member, but has read the state service since it started, is linked too: its beats tell
-that it serves nobody (membership/touch.py).
+A controller that is no member, but has read the state service since it started, is linked too: its heartbeats
+tell the others that it serves nobody (membership/cancellation_freshness.py).
 """
 
 import logging
@@ -15,8 +15,11 @@
 
 
 class Link:
-    """`heard_at` tells silence; `spoke_at` is when the last beat came: what the other side knew when it
-    sent that was on the link before it."""
+    """A connection to another controller, and what its last heartbeat told.
+
+    `heard_at`: when the last frame came. `last_heartbeat_at`: when the last heartbeat came; whatever the
+    other side knew when it sent that was on the link before it.
+    """
 
     __slots__ = ("deaf", "heard_at", "incarnation", "last_heartbeat_at", "state_ok", "stream", "term", "used")
 
@@ -25,17 +28,19 @@
         self.incarnation = incarnation
         self.heard_at = now
         self.last_heartbeat_at = -1e9
-        self.term = 0  # number of the term served there
+        self.term = 0  # number of the term that the other side serves
         self.state_ok = True
         self.deaf = False
-        self.used = None  # (requests, writes) of the state service a second, once told
+        self.used = None  # (requests, writes) per second to the state service, None before it was told
 
 
 class Peers:
-    """`on_frame(label, incarnation, frame)`, `on_up(label)`, `on_down(label)`.
+    """The links to all other configured controllers.
 
-    `links` are those of members, `outside` those of controllers that are none; `speaks()`: whether this one
-    may have links at all."""
+    `links` has those of members by label, `outside` those of controllers that are no members. `speaks()`
+    tells whether this controller may have links now. Callbacks: `on_frame(label, incarnation, frame)`;
+    `on_up(label)` for each new link, before its first heartbeat; `on_down(label)` when a member's link ends.
+    """
 
     def __init__(self, loop, net, settings, beat_s, me, speaks, beat, on_frame, on_up, on_down):
         self._loop = loop
@@ -44,9 +49,9 @@
         self._addresses = {member.label: member.endpoint for member in settings.members}
         self._listen_on = settings.internal_addr
         self._beat_s = beat_s
-        self._own_incarnation = me  # () -> own incarnation, 0 if it is no member
+        self._own_incarnation = me  # () -> this controller's incarnation, 0 while it is no member
         self._speaks = speaks
-        self._beat = beat  # () -> Beat
+        self._beat = beat  # () -> Heartbeat
         self._on_frame = on_frame
         self._on_up = on_up
         self._on_down = on_down
@@ -55,6 +60,7 @@
         self._accepted = 0
 
     def start(self):
+        """Listens for links, dials those of larger labels, and sends heartbeats."""
         self._net.listen(self._listen_on, self._accept)
         for label in self._addresses:
             if self.label < label:
@@ -86,7 +92,7 @@
             await self._loop.sleep(self._beat_s / 2)
 
     async def _serve_link(self, stream, expected):
-        """One connection, both ways, until it ends."""
+        """Exchanges frames over one connection until it ends; `expected`: the label dialled, or None."""
         splitter = Splitter()
         link = label = None
         timer = self._loop.call_later(4 * self._beat_s, stream.close)
@@ -111,7 +117,7 @@
                         self._drop(label, self.links.get(label) or self.outside.get(label))
                         link = Link(stream, frame.incarnation, self._loop.now())
                         (self.links if link.incarnation else self.outside)[label] = link
-                        # Before the first beat: who hears that relies on having been told all.
+                        # Before the first heartbeat, whose receiver relies on having been told all before it.
                         self._on_up(label)
                         stream.write(self._beat().encode())
                         continue
@@ -154,13 +160,13 @@
             limit = self._loop.now() - SILENT_BEATS * self._beat_s
             for label, link in [*self.links.items(), *self.outside.items()]:
                 if link.heard_at < limit:
-                    log.info("peer %s is silent", label)
+                    log.info("peer %s closed: it was silent for too long", label)
                     self._drop(label, link)
                 else:
                     self._write(label, link, self._beat())
 
     def send(self, label, frame):
-        """True if the frame was handed to the link; False if there is none."""
+        """Sends a frame to a member; False if there is no link to it."""
         link = self.links.get(label)
         return link is not None and self._write(label, link, frame)
 
@@ -173,11 +179,11 @@
         return True
 
     def excuse(self):
-        """After a stall: nobody was silent in time in which we were not looking."""
+        """Restarts the silence of all links after a stall, in which this process could hear nobody."""
         for link in (*self.links.values(), *self.outside.values()):
             link.heard_at = self._loop.now()
 
     def reset(self):
-        """Ends every link, since this process's incarnation changed."""
+        """Closes all links, as this process's incarnation has changed."""
         for label, link in [*self.links.items(), *self.outside.items()]:
             self._drop(label, link)
--- a/roadhead/membership/touch.py
+++ b/roadhead/membership/touch.py
@@ -1,20 +1,22 @@
 """How far this controller's knowledge of cancellations reaches, with or without the state service (safety 4).
 
 Each controller writes every cancellation that it knows to each of its links: all that may still matter when
-a link comes up, and each new one as it learns of it, before it tells a user and before any later beat. A
-link is ordered. So whoever hears a beat knows all that the other side had told anyone when it sent that. No
-sockets and no clocks here: times, in seconds of the loop, come in as arguments.
+a link comes up, and each new one as it learns of it, before it tells a user and before any later heartbeat.
+A link keeps the order. So whoever hears a heartbeat knows all that its sender had told anyone when it sent
+it. No sockets and no clocks here: times, in seconds of the loop, come in as arguments.
 """
 
-KEPT = 8  # times `cancel_s` for which a cancellation is passed on: by then nothing of its job is anywhere
-SILENT_BEATS = 3.5  # a link that is silent for longer is given up: no beat heard is older
+KEPT = 8  # times `cancel_s` for which a cancellation is passed on: none of the job's tasks can run by then
+SILENT_BEATS = (
+    3.5  # heartbeat intervals after which a silent link is closed, so no heartbeat is delayed longer
+)
 
 
 class Cancellations:
     """Ids of jobs known to be cancelled, for `keep_s` seconds each.
 
-    New ones cost the state service a write each, so that its rates bound them; Node bounds the old ones that
-    users ask for.
+    New ones cost a write to the state service each, so its rate limits bound them. Node bounds the old ones
+    that users ask for.
     """
 
     def __init__(self, keep_s):
@@ -25,43 +27,50 @@
         return len(self._since)
 
     def learn(self, jobs, now):
-        """Those of them that are new here."""
+        """Adds jobs, and returns those that were not known."""
         fresh = [job for job in dict.fromkeys(jobs) if job not in self._since]
         self._since.update(dict.fromkeys(fresh, now))
         return fresh
 
     def all(self):
+        """All ids, oldest first."""
         return list(self._since)
 
     def knows(self, job):
+        """Whether the job is known to be cancelled."""
         return job in self._since
 
     def prune(self, now):
-        """Lets go of the old ones."""
+        """Forgets ids known for longer than `keep_s`."""
         while self._since and now - self._since[next(iter(self._since))] > self._keep_s:
             del self._since[next(iter(self._since))]
 
 
 class Touch:
-    """Until when all that users were told is known here. `blind_s`: for how long that may lie back before
-    workers must be let go of; `keep_s`: of the other controllers' Cancellations."""
+    """Until when all cancellations that users were told of are known here.
+
+    `blind_s`: how old that knowledge may be before workers must be released; `keep_s`: for how long the other
+    controllers keep their KnownCancellations.
+    """
 
     def __init__(self, blind_s, keep_s):
         self._blind_s = blind_s
-        self._max_gap_s = keep_s / 2  # by another clock, and told a while ago: well within it
+        # Half of it, as the others count it by their own clocks and from earlier moments.
+        self._max_gap_s = keep_s / 2
         self.known_at = -1e9
 
     def look(self, watched_at, heard_at):
-        """`watched_at`: when the newest watch that was answered was sent; `heard_at`: by then all other
-        controllers had spoken, and none is out of reach; None if that can't be said.
+        """Updates the knowledge; must be called at least once per heartbeat.
 
-        To be called at least every beat: hearing continues what was known, and after a silence longer than
-        cancellations are passed on for, it proves nothing.
+        `watched_at`: when the newest answered watch was sent. `heard_at`: a time after which every other
+        controller sent a heartbeat that was heard, None if one of them is out of reach. Hearing only
+        continues what was known: after a silence longer than cancellations are passed on for, it proves
+        nothing.
         """
         self.known_at = max(self.known_at, watched_at)
         if heard_at is not None and heard_at - self.known_at < self._max_gap_s:
             self.known_at = max(self.known_at, heard_at)
 
     def fresh(self, now):
-        """Whether workers may be renewed and commanded."""
+        """Whether the knowledge is recent enough to renew leases and command workers."""
         return now - self.known_at < self._blind_s
--- a/roadhead/recovery/__init__.py
+++ b/roadhead/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What ended controllers leave behind, and who goes on with it."""
+"""Failover: successors take over the jobs of controllers that have ended."""
--- a/roadhead/recovery/takeover.py
+++ b/roadhead/recovery/takeover.py
@@ -1,7 +1,8 @@
-"""Jobs of owners that the term no longer names fall to their heirs.
+"""Failover of jobs: successors take over the jobs of owners that the term no longer names.
 
-Three ways lead there: the scan after every change of the term, the word of a controller that
-accepted a job for its warden, and a poll that finds an open record whose owner does not serve.
+They find them in three ways: by a scan of the records after a change of the term, by word of a controller
+that accepted a job for its quota leader, and by a user's poll that reads an open record whose owner does not
+serve.
 """
 
 import logging
@@ -17,7 +18,11 @@
 
 
 class Takeover:
-    """`changed()` is called once a scan is through: what waited for it may be placed."""
+    """Takes over jobs that fall to this controller.
+
+    `changed()` is called after each complete scan, since jobs that waited for it may be placed then.
+    `retry_s`: seconds between two tries to read.
+    """
 
     def __init__(self, loop, state, member, teams, send, changed, retry_s, cancel_s):
         self._loop = loop
@@ -29,17 +34,17 @@
         self._retry_s = retry_s
         self._cancel_s = cancel_s
         self._book = self._shelf = None
-        self._roster = None  # of the term: who serves, and who the wardens are
+        self._roster = None  # Term.roster() of the newest term
         self._logged_newer_format = False
-        self._orphans = {}  # jobs accepted for a warden that has yet to be told -> their group
+        self._orphans = {}  # job accepted for a quota leader that is not told yet -> its team's group
 
     def begin(self, book, shelf):
-        """A new incarnation owns nothing yet; what it accepted for others is still to be told."""
+        """Starts an incarnation, which owns nothing yet; jobs accepted for quota leaders are still told."""
         self._book, self._shelf = book, shelf
 
     def on_term(self, old, new):
-        """Only if others own jobs than before is there anything to inherit."""
-        # Between two terms that are alike a quota partition may have gone to another and come back.
+        """Scans for jobs to take over if the new term has other owners than the old one."""
+        # In terms skipped between two equal ones, a quota partition may have changed hands and come back.
         doubtful = old is not None and new.number > old.number + 1 and self._book.quota.inherits_limits()
         if old is not None and old.roster() == new.roster() and not doubtful:
             if self._book.quota.scanned == old.number:
@@ -50,15 +55,15 @@
         self.scan()
 
     def scan(self):
-        """Reads all open records under the term as it is now."""
+        """Starts a scan of all open records under the current term."""
         self._loop.spawn(self._scan(self._roster), "scan")
 
     async def _scan(self, roster):
-        """Takes over what falls to this controller, page by page.
+        """Takes over the jobs whose successor this controller is, page by page.
 
-        Final records are only seen, and moved to the shelf in time, so that a takeover costs
-        what is open and memory holds a page. A record lies in its place until it is final, so
-        none that was there when the scan began is missed between two pages.
+        Final records are only remembered, and moved to the archive in time. So a takeover costs what is open,
+        and memory holds one page. A record keeps its key until it is final, so none that was there when the
+        scan began is missed between two pages.
         """
         member, after = self._member, ""
         while member.joined and self._roster is roster:
@@ -75,7 +80,11 @@
                 if record.get("v", 0) > FORMAT:
                     if not self._logged_newer_format:
                         self._logged_newer_format = True
-                        log.error("%s, and perhaps others, is of format %s: left alone", job_id, record["v"])
+                        log.error(
+                            "record of job %s, and perhaps others, skipped: unknown format %s",
+                            job_id,
+                            record["v"],
+                        )
                 elif record["s"] in FINAL:
                     self._book.remember(job_id, record)
                     self._shelf.found(job_id, record, stamp)
@@ -87,18 +96,19 @@
                 ]
             except (Unavailable, Unsure):
                 await self._loop.sleep(self._retry_s)
-                continue  # the same page again
+                continue  # reads the same page again
             if not member.joined or self._roster is not roster:
                 return
             if mine:
-                log.info("inheriting %d jobs", len(mine))
+                log.info("taking over %d jobs", len(mine))
                 self._book.adopt(mine)
             if more:
                 after = items[-1][0]
                 continue
             gone_at = None
             if self._book.quota.inherits_limits():
-                # What was cancelled before this scan saw it is nobody's, but may run, and counts.
+                # Jobs cancelled before this scan read them have no owner, but their tasks may still run and
+                # count against the limits.
                 try:
                     newest_cancelled_at = await member.newest_cancellation_at()
                 except (Unavailable, Unsure):
@@ -120,12 +130,12 @@
     # Jobs found without an owner
 
     def on_accepted(self, job):
-        """A job of a limited team was accepted here: its warden shall take it over."""
+        """Tells the quota leader of a job of a limited team that was accepted here for it."""
         self._orphans[job.id] = self._teams.group(job.spec.team)
         self.tell()
 
     def tell(self):
-        """Links may not be up yet, as right after the start: tried again with every beat."""
+        """Tells quota leaders of jobs accepted for them; called with each heartbeat, as links may be down."""
         unreached = set()
         for job, group in list(self._orphans.items()):
             warden = self._member.term.warden(group)
@@ -135,16 +145,17 @@
             del self._orphans[job]
 
     def seen(self, job_id, record):
-        """A record was read for a user. If its owner is gone, its heir shall take it over.
+        """Tells the job's successor if a record read for a user has an owner that no longer serves.
 
-        The scan after a change of the term finds nearly all such jobs; a write of a dropped
-        owner can take effect after it.
+        The scan after a change of the term finds nearly all such jobs, but a write of a dropped owner can
+        take effect after it.
         """
         member = self._member
         if record["s"] not in FINAL and member.joined and not member.term.serves(*record["o"]):
             self._send(self._heir(job_id, record), frames.Orphan(job_id))
 
     def on_orphan(self, job_id):
+        """Takes over one job that another controller found without an owner."""
         self._loop.spawn(self._adopt_one(job_id), "adopt")
 
     async def _adopt_one(self, job_id):
@@ -154,11 +165,11 @@
         try:
             record, stamp = await find(self._state, job_id)
         except (Unavailable, Unsure):
-            return  # the next scan or poll finds it
+            return  # the next scan or poll finds the job
         member = self._member
         if record is None or record["s"] in FINAL or not member.joined:
             return
         if not member.term.serves(*record["o"]) and self._heir(job_id, record) == member.label:
-            if record["o"][0]:  # else it was accepted for us, as the warden
-                log.info("taking over %s, found without an owner", job_id)
+            if record["o"][0]:  # empty if it was accepted for this controller as the quota leader
+                log.info("taking over job %s, whose owner no longer serves", job_id)
             self._book.adopt([(record, stamp)])
--- a/roadhead/shares/__init__.py
+++ b/roadhead/shares/__init__.py
@@ -1,1 +1,1 @@
-"""The machines, parted into shares among the controllers."""
+"""Machine shards: how machines are divided among the controllers."""
--- a/roadhead/shares/balance.py
+++ b/roadhead/shares/balance.py
@@ -1,17 +1,18 @@
-"""Which shares a home gives away so that all carry about as many: a pure decision, a step at a time."""
+"""Decides which shards a leader gives away so that all leaders have about as many. A pure function."""
 
-STEP = 1 / 8  # of the machines that a home has, given away in one step at the most
+STEP = 1 / 8  # of a leader's machines that one step may move at most
 
 
 def step(shares, label, takers, machines, most=STEP):
-    """{share: label} that the home `label` gives away now; empty if the map is as even as it can be.
+    """{shard: label} that the leader `label` gives away now; empty if the map is as even as it can be.
 
-    `takers`: other homes that may be given any; `machines`: {share: machines there} of this home's.
-    By number of shares, which all read from the same map: whoever has more than its equal part gives
-    down to that, to the one with fewest. So no home gives what another has to give, none gets what it
-    would have to give on, and none gives back.
-    Machines spread over shares by hash, so any shares are as good as others. No more machines move
-    at once than `most` of those here, but one share always may, so that every step gets on.
+    `takers`: other leaders that may be given shards; `machines`: {shard: its machines} of this leader's
+    shards. Only numbers of shards count, which all leaders read from the same map. A leader with more than
+    its equal part gives down to that part, always to the leader with fewest. So no leader gives what another
+    one has to give, none gets what it would have to pass on, and none gives back.
+
+    Machines are spread over shards by hash, so any shard is as good as another. A step moves no more than
+    `most` of this leader's machines, but always at least one shard, so that the balance is reached.
     """
     counts = shares.counts([label, *takers])
     bound = most * sum(machines.values())
@@ -24,7 +25,7 @@
             break
         fewest = min(takers, key=lambda taker: (counts[taker], taker))
         if counts[label] <= equal and (counts[fewest] >= least or counts[label] < max(counts.values())):
-            break  # the rest is for others to give
+            break  # what is left to move is for other leaders to give
         here = machines.get(share, 0)
         if moved and moved + here > bound:
             break
--- a/roadhead/shares/hashing.py
+++ b/roadhead/shares/hashing.py
@@ -4,7 +4,7 @@
 
 
 def pick(labels, name):
-    """Rendezvous hash: the label that weighs most for `name`."""
+    """The label with the highest hash together with `name`, None without labels."""
     data = name.encode()
     return max(
         labels,
--- a/roadhead/shares/keeper.py
+++ b/roadhead/shares/keeper.py
@@ -1,4 +1,4 @@
-"""When a home gives shares away: a step with a beat, as long as all is well."""
+"""Evens out the shards: gives some away, one step per heartbeat, while all is well."""
 
 import logging
 
@@ -6,11 +6,14 @@
 
 log = logging.getLogger("roadhead.shares")
 
-MAX_CHANGES_KEPT = 20  # changes remembered for whoever asks
+MAX_CHANGES_KEPT = 20  # changes of the map kept for operators
 
 
 class Keeper:
-    """`settle_s`: who joined is given nothing before. `links()`: {label: its link}."""
+    """Balances the shards of this controller with those of the other leaders.
+
+    `settle_s`: for so long a member that joined is given nothing; `links()`: {label: its Link}.
+    """
 
     def __init__(self, loop, label, member, settle_s, links, counters):
         self._loop = loop
@@ -21,10 +24,11 @@
         self._count = counters.add
         self._first_seen = {}  # label -> (incarnation, when it was first seen in a term)
         self._move_pending = False
-        # (when, term, shares moved, from whom, to whom, whether the giver serves on), the latest last
+        # (when, term, number of shards, giver, taker, whether the giver may still lead shards), newest last
         self.changes = []
 
     def on_term(self, old, new):
+        """Notes new members, and the shards that moved with the term."""
         now = self._loop.now()
         self._first_seen = {
             label: (
@@ -42,14 +46,14 @@
             if giver != taker:
                 moved.setdefault((giver, taker), []).append(share)
         for (giver, taker), shares in moved.items():
-            log.info("term %d: %d shares from %s to %s", new.number, len(shares), giver, taker)
+            log.info("term %d: %d shards moved from %s to %s", new.number, len(shares), giver, taker)
             self._count("shares_moved", len(shares))
             planned = new.incarnation(giver) is not None and giver in new.homes
             self.changes.append((now, new.number, len(shares), giver, taker, planned))
         del self.changes[:-MAX_CHANGES_KEPT]
 
     def tick(self, home):
-        """With each beat."""
+        """Gives shards away if there are too many here; called with each heartbeat."""
         member, term = self._member, self._member.term
         if member.lapsed():
             return
@@ -66,7 +70,7 @@
             self._move_pending = False
 
     def _takers(self, term):
-        """Other homes that are heard, hear their workers, and have stayed for a while."""
+        """Labels of leaders that may be given shards: heard, hearing their workers, and settled."""
         now, links = self._loop.now(), self._links()
         return [
             label
--- a/roadhead/shares/map.py
+++ b/roadhead/shares/map.py
@@ -1,7 +1,7 @@
-"""The map of shares: each share of the machines has one home and one token. Pure values and functions.
+"""The map of shards, each of which has one leader and one fencing token. Pure values and functions.
 
-It lies in the record of the term and changes with it, by compare-and-set. Tokens come from the
-term's one count, so whoever gets a share has a token higher than any that its machines have seen.
+It is stored in the term record and changes with it, by compare-and-set. Tokens come from the term's one
+counter, so whoever gets a shard has a higher token than any that the shard's machines have seen.
 """
 
 from functools import lru_cache
@@ -9,11 +9,11 @@
 
 from roadhead.shares.hashing import pick
 
-SHARES = 64  # about twenty for each of three controllers, seven of nine: the finest step of a balance
+SHARES = 64  # about twenty for each of three controllers, seven of nine: the granularity of the balance
 
 
 class Shares:
-    """`homes` and `tokens`, one of each a share. Never changed: each change is a new map."""
+    """An immutable map: `homes` has each shard's leader and `tokens` its token, by shard number."""
 
     __slots__ = ("homes", "tokens")
 
@@ -23,30 +23,32 @@
 
     @classmethod
     def even(cls, labels, token, count=SHARES):
-        """All shares new, spread evenly."""
+        """A map with all shards new under `token`, spread evenly over the labels."""
         labels = sorted(labels)
         return cls([labels[share % len(labels)] for share in range(count)], [token] * count)
 
     @classmethod
     def from_record(cls, record):
+        """The map of a stored record."""
         labels, homes, tokens = record
         return cls([labels[home] for home in homes], tokens)
 
     def to_record(self):
-        """[labels, a place in them for each share, a token for each]: eight bytes a share at most."""
+        """[labels, each shard's place in them, each shard's token]: eight bytes a shard at most."""
         labels = sorted(set(self.homes))
         places = {label: place for place, label in enumerate(labels)}
         return [labels, [places[home] for home in self.homes], list(self.tokens)]
 
     def share(self, machine):
+        """The number of the machine's shard."""
         return machine_hash(machine) % len(self.homes)
 
     def of(self, label):
-        """{share: token} of a home."""
+        """{shard: token} of a leader's shards."""
         return {share: self.tokens[share] for share, home in enumerate(self.homes) if home == label}
 
     def counts(self, labels):
-        """{label: how many shares it is home to}."""
+        """{label: number of shards that it leads}."""
         counts = dict.fromkeys(labels, 0)
         for home in self.homes:
             if home in counts:
@@ -54,16 +56,20 @@
         return counts
 
     def give(self, moves, token):
-        """The map in which each share of `moves` ({share: label}) has that home, and the new token.
-        Whoever keeps its share keeps its token, and its machines notice nothing."""
+        """The map in which each shard of `moves` ({shard: label}) has that leader and the new token.
+
+        All other shards keep their token, so their machines notice nothing.
+        """
         homes, tokens = list(self.homes), list(self.tokens)
         for share, label in moves.items():
             homes[share], tokens[share] = label, token
         return Shares(homes, tokens)
 
     def spread(self, lost, homes):
-        """{share: label} by which the shares of `lost` homes go to those with the fewest, and of
-        these to the one that weighs most for the share."""
+        """{shard: label} that gives the shards of `lost` leaders to those of `homes` with fewest shards.
+
+        Between several with fewest, rendezvous hashing of the shard decides.
+        """
         counts = self.counts(homes)
         moves = {}
         for share, home in enumerate(self.homes):
@@ -77,4 +83,5 @@
 
 @lru_cache(maxsize=1 << 14)
 def machine_hash(machine):
+    """A stable hash of a machine's name, from which its shard follows."""
     return int.from_bytes(blake2b(machine.encode(), digest_size=4, key=b"share").digest(), "big")
