--- a/roadhead/homes/commanding.py
+++ b/roadhead/homes/commanding.py
@@ -125,10 +125,10 @@
         """Stops and forgets all attempts of jobs that are done or cancelled."""
         now = self._loop.now()
         cancelled = self._known.cancelled
-        fresh = [job for job in dict.fromkeys(jobs) if job not in cancelled]
-        for job in fresh:
+        ended = [job for job in dict.fromkeys(jobs) if job not in cancelled]
+        for job in ended:
             cancelled[job] = now
-        for machine, tasks in self._known.on_machines(fresh).items():
+        for machine, tasks in self._known.on_machines(ended).items():
             for task in tasks:
                 machine.stop(task, 0.0)
                 if task.status == EXITED:
@@ -163,13 +163,13 @@
             self._decisions.note(
                 Decision.LAUNCH_SENT, about(machine, task), path="repeat" if task.loose_token else "direct"
             )
-        fresh = [task for task in launches if not task.loose_token]
-        for task in fresh:
+        first_sent = [task for task in launches if not task.loose_token]
+        for task in first_sent:
             task.loose_token = machine.token
-        return fresh
+        return first_sent
 
     @staticmethod
-    def end_direct_send(fresh):
+    def end_direct_send(first_sent):
         """Clears the mark of launches that were answered or were never sent."""
-        for task in fresh:
+        for task in first_sent:
             task.loose_token = 0
--- a/roadhead/homes/hearing.py
+++ b/roadhead/homes/hearing.py
@@ -58,14 +58,14 @@
 
     def _note_overtaken(self, machine, number):
         """Records that a report older than the worker's newest message is about to be answered."""
-        again = number <= machine.lease.answered
-        self._decisions.count("reports_again" if again else "reports_overtaken")
+        is_repeated = number <= machine.lease.answered
+        self._decisions.count("reports_again" if is_repeated else "reports_overtaken")
         self._decisions.note(
             Decision.REPORT_OVERTAKEN,
             about(machine),
             report=f"{number.session}.{number.sequence}",
             newest=f"{machine.session}.{machine.sequence}",
-            again=again,
+            again=is_repeated,
             renewed_before_s=self._loop.now() - machine.lease.renewed_at,
         )
 
@@ -100,8 +100,8 @@
         if report.token > machine.token or self._too_late(machine):
             return False
         machine.up = True
-        at = (report.session, report.sequence)
-        if at <= (machine.session, machine.sequence):
+        message_number = (report.session, report.sequence)
+        if message_number <= (machine.session, machine.sequence):
             return False
         now = self._loop.now()
         if machine.kind is None:
@@ -112,7 +112,7 @@
             for task in list(machine.tasks.values()):
                 self._news.freed(machine, task, "lease ended")
             machine.lease.begin(now)
-        machine.session, machine.sequence = at
+        machine.session, machine.sequence = message_number
         machine.heard_at = now
         if report.notice_s is not None:
             machine.notice_at = now + report.notice_s
@@ -126,13 +126,13 @@
                 if task.loose_token < report.token:
                     task.loose_token = 0
             self._reconciliation.heard(machine)
-        before = machine.room()
+        room_before = machine.room()
         self._take_tasks(machine, report.tasks, confirmed)
         if confirmed:
             self._resolve_claims(machine)
         if first:
             self._reconciliation.settle()
-        if machine.room() != before or first:
+        if machine.room() != room_before or first:
             machine.declined.clear()
             self._rooms.changed(machine)
         if machine.notice_at is not None and not machine.draining:
@@ -164,22 +164,22 @@
                 if task is None:
                     continue
             task.last_read = read_number
-            was = task.status
-            if was == item.status and task.cause == item.cause and task.was_reported:
+            old_status = task.status
+            if old_status == item.status and task.cause == item.cause and task.was_reported:
                 continue
             first, task.was_reported = not task.was_reported, True
             machine.set_status(task, item.status)
             task.cause = item.cause
             task.saved = bool(item.saved)
-            if item.status == "running" and (first or was != "running") and task.needs is not None:
+            if item.status == "running" and (first or old_status != "running") and task.needs is not None:
                 machine.note_image(task.needs)
-            if task.status == EXITED and was != EXITED:
+            if task.status == EXITED and old_status != EXITED:
                 self._faults.exited(machine, task)
             if task.job in self._known.cancelled:
                 machine.stop(task, 0.0)
                 if task.status == EXITED:
                     machine.forget(task)
-            if was != LAUNCHING or item.status != "pulling":
+            if old_status != LAUNCHING or item.status != "pulling":
                 changed.append(task)  # the owner of a launched task expects it to pull its image first
         if changed:
             self._news.states(machine, changed)
--- a/roadhead/homes/home.py
+++ b/roadhead/homes/home.py
@@ -88,34 +88,34 @@
 
         Returns {label: [frames]} that hand the dropped machines over to their new leaders.
         """
-        had, has = old.held(self.label), new.held(self.label)
-        lost = had.keys() - has.keys()
-        begun = [share for share, token in has.items() if had.get(share) != token]
-        given, told = {}, {}  # new leader -> its machines, and the frames for it
+        old_tokens, new_tokens = old.held(self.label), new.held(self.label)
+        lost = old_tokens.keys() - new_tokens.keys()
+        renewed = [share for share, token in new_tokens.items() if old_tokens.get(share) != token]
+        moved, handovers = {}, {}  # new leader -> its machines, and the frames for it
         self.reconciliation.on_relief(old, new)
-        if lost or begun:
+        if lost or renewed:
             for machine in list(self.machines.values()):
                 share, (home, token) = new.share(machine.id), new.place(machine.id)
                 if home != self.label:
-                    given.setdefault(home, []).append(machine)
+                    moved.setdefault(home, []).append(machine)
                 elif (share, token) != (machine.share, machine.token):
                     machine.share, machine.token, machine.confirmed = share, token, 0
                     self.rooms.revoke(machine)
                     if machine.heard_at is not None:
                         self._ask(machine)
-            told = {label: handover(machines, self.known) for label, machines in given.items()}
-            for machine in chain.from_iterable(given.values()):
+            handovers = {label: handover(machines, self.known) for label, machines in moved.items()}
+            for machine in chain.from_iterable(moved.values()):
                 self.rooms.revoke(machine)
                 self._remove_machine(machine)
             self.reconciliation.let_go(lost)
-            self.reconciliation.fence(begun, False)
+            self.reconciliation.fence(renewed, False)
         if old.members.keys() - new.members.keys() or new.relieved - old.relieved:
             self.reconciliation.lengthen()
         for label in list(self.rooms.demand):
             if old.incarnation(label) != new.incarnation(label):
                 self.rooms.peer_down(label)
         self.reconciliation.on_term(new)
-        return told
+        return handovers
 
     def deaf(self):
         """Whether most machines heard here are silent: all died at once, or this controller is cut off."""
@@ -170,7 +170,7 @@
         now = self._loop.now()
         known, reconciliation = self.known, self.reconciliation
         shown_at = reconciliation.shown_at(asked_at)
-        failed, left = [], set()
+        failed, skipped_shards = [], set()
         for item in listed:
             if item.id in known.gone:
                 continue
@@ -187,7 +187,7 @@
             if machine is None:
                 if not taken_on:
                     # It is not heard, so what runs there stays unknown, and the list covers less.
-                    left.add(share)
+                    skipped_shards.add(share)
                     continue
                 machine = known.take_on(item.id, item.address, item.type, item.zone, item.spot, now)
                 reconciliation.unheard(machine)
@@ -201,7 +201,7 @@
                 machine.born_at = max(machine.born_at, shown_at)
             if machine.confirmed != machine.token and item.status == "running":
                 self._ask(machine)
-        reconciliation.cover(asked_at, left)
+        reconciliation.cover(asked_at, skipped_shards)
         reconciliation.settle()
         return failed
 
@@ -241,7 +241,7 @@
         machine.draining = True
         self.rooms.revoke(machine)
         if machine.notice_at is not None:
-            left = machine.notice_at - self._loop.now()
+            left_s = machine.notice_at - self._loop.now()
             for task in machine.tasks.values():
                 if (
                     task.status != EXITED
@@ -249,7 +249,7 @@
                     and task.needs.saves
                     and task.stop_grace is None
                 ):
-                    machine.stop(task, max(0.0, left))
+                    machine.stop(task, max(0.0, left_s))
             self._ask(machine)
 
     def tick(self, sure_at):
@@ -274,12 +274,16 @@
                 # Once forgotten, the attempt could be started again by the unanswered launch. Under a
                 # higher token the worker refuses that launch.
                 self._member.request_new_token(machine.share)
-            ours = machine.confirmed == machine.token
+            is_confirmed = machine.confirmed == machine.token
             heard_at = machine.heard_at if machine.heard_at is not None else now
-            silent = now - max(heard_at, self.awake_at)
-            taken = machine.notice_at is not None and now > machine.notice_at + 1
-            drained = machine.draining and machine.notice_at is None and ours and machine.empty()
-            if drained or silent > 4 * lease_s or (taken and silent > 2 * self._workers.report_s):
+            silent_s = now - max(heard_at, self.awake_at)
+            is_past_notice = machine.notice_at is not None and now > machine.notice_at + 1
+            is_drained = machine.draining and machine.notice_at is None and is_confirmed and machine.empty()
+            if (
+                is_drained
+                or silent_s > 4 * lease_s
+                or (is_past_notice and silent_s > 2 * self._workers.report_s)
+            ):
                 release.append(machine)
         self.known.prune(now, self.reconciliation.awaited_jobs)
         return release
@@ -345,14 +349,14 @@
 
     def plenty(self):
         """Whether the machines in use have much free capacity that nobody wants."""
-        held = spare = 0.0
+        used = spare = 0.0
         for machine in self.machines.values():
             if machine.active and machine.kind is not None:
                 free = machine.room()[0]
-                held += machine.kind.cpus - free
+                used += machine.kind.cpus - free
                 if machine.holder is None and self.rooms.offerable(machine):
                     spare += free
-        return spare > SPARE_RATIO * held
+        return spare > SPARE_RATIO * used
 
     def machines_by_shard(self):
         """{shard: number of its machines}."""
--- a/roadhead/homes/known.py
+++ b/roadhead/homes/known.py
@@ -72,16 +72,16 @@
         if now < self._prune_at:
             return
         self._prune_at = now + self._lease_s
-        live = self.locations.keys() | awaited()
-        old = now - 4 * self._lease_s
-        self.owners = {job: owner for job, owner in self.owners.items() if job in live}
-        self.specs = {job: spec for job, spec in self.specs.items() if job in live}
+        live_jobs = self.locations.keys() | awaited()
+        oldest_kept = now - 4 * self._lease_s
+        self.owners = {job: owner for job, owner in self.owners.items() if job in live_jobs}
+        self.specs = {job: spec for job, spec in self.specs.items() if job in live_jobs}
         if len(self.cancelled) > MAX_CANCELLED:
             self.cancelled = {
                 job: at
                 for job, at in self.cancelled.items()
-                if job in live or at > now - KEPT * self._cancel_s
+                if job in live_jobs or at > now - KEPT * self._cancel_s
             }
-        self.faulty = {job: at for job, at in self.faulty.items() if job in live or at > old}
-        self.proven = {job: at for job, at in self.proven.items() if job in live or at > old}
-        self.gone = {name: at for name, at in self.gone.items() if at > old - 20 * self._lag_s}
+        self.faulty = {job: at for job, at in self.faulty.items() if job in live_jobs or at > oldest_kept}
+        self.proven = {job: at for job, at in self.proven.items() if job in live_jobs or at > oldest_kept}
+        self.gone = {name: at for name, at in self.gone.items() if at > oldest_kept - 20 * self._lag_s}
--- a/roadhead/homes/machine.py
+++ b/roadhead/homes/machine.py
@@ -84,7 +84,7 @@
     """
 
     __slots__ = (
-        "_active_without_needs",
+        "_active_without_requirements",
         "_cpus",
         "_gpus",
         "_locations",
@@ -161,7 +161,7 @@
         self.reports_read = 0  # task lists compared with `tasks` so far
         self.todo = {}  # tasks that may have commands to be carried out
         self.active = 0  # tasks not exited
-        self._active_without_needs = 0  # active tasks whose needs are unknown
+        self._active_without_requirements = 0  # active tasks whose requirements are unknown
         self._cpus = self._gpus = self._memory = 0.0  # held by active tasks
         self._room = None
         self.images = {}  # image -> GB: seen in use there, newest last, bounded by the machine's cache
@@ -187,7 +187,7 @@
         room = self._room
         if room is None:
             kind = self.kind
-            if kind is None or self._active_without_needs:
+            if kind is None or self._active_without_requirements:
                 room = NOTHING
             else:
                 room = (kind.cpus - self._cpus, kind.gpus - self._gpus, kind.memory - self._memory)
@@ -204,8 +204,8 @@
         self._room = None
         self.active += sign
         if task.needs is None:
-            self._active_without_needs += sign
-        elif self.active == self._active_without_needs:
+            self._active_without_requirements += sign
+        elif self.active == self._active_without_requirements:
             self._cpus = self._gpus = self._memory = 0.0  # so that rounding errors don't add up
         else:
             cpus, gpus, memory = task.needs.room
@@ -255,8 +255,8 @@
 
     def set_status(self, task, status):
         """Changes a task's status, and the held capacity with it."""
-        was, task.status = task.status, status
-        if (was == EXITED) != (status == EXITED):
+        old_status, task.status = task.status, status
+        if (old_status == EXITED) != (status == EXITED):
             self._adjust_held(task, -1 if status == EXITED else 1)
 
     def note_image(self, needs):
@@ -272,11 +272,11 @@
 
     def learn(self, task, needs):
         """Sets the requirements of a task, unknown until now."""
-        held = task.status != EXITED
-        if held:
+        is_active = task.status != EXITED
+        if is_active:
             self._adjust_held(task, -1)
         task.needs = needs
-        if held:
+        if is_active:
             self._adjust_held(task, 1)
 
     def stop(self, task, grace):
--- a/roadhead/homes/rooms.py
+++ b/roadhead/homes/rooms.py
@@ -54,16 +54,16 @@
 
     def serve(self, machine):
         """Takes the tasks that a granted machine can run off what waits."""
-        left = machine.room()
+        remaining = machine.room()
         for row in self.rows:
-            if row_fits(row, machine, left):
-                count = min(row[COUNT], times(row[CPUS : MEMORY + 1], left))
+            if row_fits(row, machine, remaining):
+                count = min(row[COUNT], times(row[CPUS : MEMORY + 1], remaining))
                 row[COUNT] -= count
                 self.left -= count
-                left = (
-                    left[0] - count * row[CPUS],
-                    left[1] - count * row[GPUS],
-                    left[2] - count * row[MEMORY],
+                remaining = (
+                    remaining[0] - count * row[CPUS],
+                    remaining[1] - count * row[GPUS],
+                    remaining[2] - count * row[MEMORY],
                 )
 
 
@@ -246,21 +246,21 @@
         demand = self.demand[label] = Demand(self._serial, frame.length, list(rows.values()))
         if not demand.left:
             return
-        least = min(row[CPUS] for row in demand.rows), min(row[MEMORY] for row in demand.rows)
+        smallest = min(row[CPUS] for row in demand.rows), min(row[MEMORY] for row in demand.rows)
         machines = [
             machine
             for machine in self._machines.values()
             if machine.holder is None
-            and fits((least[0], 0.0, least[1]), machine.room())
+            and fits((smallest[0], 0.0, smallest[1]), machine.room())
             and self.offerable(machine)
         ]
         wanted = set(frame.images)
         machines.sort(key=lambda m: (wanted.isdisjoint(m.images), *self._grant_order(m)))
         # Every leader hears the whole demand. Where there is more free capacity than that, each meets its
         # part, so that the machines last in this order run empty and can be released.
-        spare = demand.left * (1.0 - self.part(sum(m.room()[0] for m in machines)))
+        unmet = demand.left * (1.0 - self.part(sum(m.room()[0] for m in machines)))
         for machine in machines:
-            if demand.left <= spare:
+            if demand.left <= unmet:
                 break
             self.offer(machine)
 
--- a/roadhead/homes/shard_reconciliation.py
+++ b/roadhead/homes/shard_reconciliation.py
@@ -35,8 +35,8 @@
     leader; infinite while a relieved controller may still hear some. `at`: by then every lease that another
     leader renewed has ended. `short`: whether `at` assumes that no other leader came between. `cover_from`:
     only a machine list requested after this counts as complete, and `covered` is whether one was taken in.
-    `unheard`: machines not heard under the token. `awaited`: those of them that syncs wait for until `at`;
-    they only become fewer. Both are ordered sets.
+    `unheard`: machines not heard under the token. `awaited`: those of them that syncs wait for until `at`.
+    Both are ordered sets.
     """
 
     __slots__ = ("at", "awaited", "cover_from", "covered", "short", "since", "unheard")
@@ -91,7 +91,7 @@
         self._end_wait_for_relieved()
 
     def _end_wait_for_relieved(self):
-        """Bounds open fences once every relieved controller knows that it is relieved.
+        """Ends the wait for relieved controllers once all of them know that they are relieved.
 
         What one of them heard is up by now, so a list that shows a later moment names it.
         """
@@ -105,7 +105,7 @@
                 self._unverified[share] = True
 
     def fence(self, shares, short):
-        """Begins anew with shards that came to this leader or got a new token.
+        """Fences shards that came here or got a new token, as what is known of them may be outdated.
 
         `short`: nobody else led them since this controller's previous incarnation. While a relieved
         controller may not know that it is, all machines are waited for, whoever led them last: that leader
@@ -147,7 +147,7 @@
         return (bound + MAX_RESPONSE_S) * (1 + 2 * CLOCK_DRIFT) + 0.5
 
     def lengthen(self):
-        """Makes short fences that have not passed long, since a member was dropped or relieved.
+        """Extends short fences that have not ended, since a member was dropped or relieved.
 
         That member may live on, and may have given one of these shards away right before without knowing
         that the transaction succeeded.
@@ -197,12 +197,12 @@
         """The earliest moment that a machine list may show: up to twice its lag before the request."""
         return asked_at - 2 * self._lag_s * (1 + CLOCK_DRIFT)
 
-    def cover(self, asked_at, left):
-        """Counts a list requested at `asked_at` as complete, except for the shards in `left`."""
+    def cover(self, asked_at, skipped_shards):
+        """Counts a list requested at `asked_at` as complete, except for the shards in `skipped_shards`."""
         covered = [
             share
             for share, fence in self._fences.items()
-            if not fence.covered and asked_at >= fence.cover_from and share not in left
+            if not fence.covered and asked_at >= fence.cover_from and share not in skipped_shards
         ]
         for share in covered:
             self._fences[share].covered = True
@@ -296,7 +296,8 @@
     def expire_claims(self, sure_at):
         """Frees claims on unknown machines whose fence ended before `term_confirmed_at`.
 
-        Nobody but this leader can have renewed their leases since. Returns whether fences passed after it.
+        Nobody but this leader can have renewed their leases since. Returns whether other such fences have
+        ended since then.
         """
         now = self._loop.now()
         undecided = False
--- a/roadhead/homes/workers.py
+++ b/roadhead/homes/workers.py
@@ -98,15 +98,15 @@
                 return None
             session = machine.session or 1
             body = messages.commands(machine.token, session, orders)
-            fresh = self.home.commanding.begin_direct_send(machine, launches)
+            first_sent = self.home.commanding.begin_direct_send(machine, launches)
             try:
                 status, data, _headers = await client.request("POST", "/commands", body, self._timeout_s)
             except NoAnswer as error:
                 log.debug("commands to %s: %s", machine.id, error)
                 if not error.sent:
-                    self.home.commanding.end_direct_send(fresh)
+                    self.home.commanding.end_direct_send(first_sent)
                 return None
-            self.home.commanding.end_direct_send(fresh)
+            self.home.commanding.end_direct_send(first_sent)
             if orders and not (self._member.joined and self._may_command()):
                 # The request named the session: if it arrived late, that session's lease bounds what it did.
                 self._decisions.count("authority_lost")
--- a/roadhead/membership/gate.py
+++ b/roadhead/membership/gate.py
@@ -17,20 +17,20 @@
     members; `present`: {label: format} of the controllers alive now; `knows`: the format of this process;
     `now`: the time of day in seconds.
     """
-    force, seen = (record["format"], record["seen"]) if record is not None else (BEFORE, {})
-    if force >= knows:
+    format_in_force, seen = (record["format"], record["seen"]) if record is not None else (BEFORE, {})
+    if format_in_force >= knows:
         return None
-    known = {label: entry for label, entry in seen.items() if label in labels}
+    known_formats = {label: entry for label, entry in seen.items() if label in labels}
     for label in labels:
         # A controller that is away keeps the format that it was seen with. One that went back to the old
         # version counts as old again.
-        if label in present and (label not in known or known[label][0] != present[label]):
-            known[label] = [present[label], round(now, 1)]
-    least = min(known.get(label, (0, 0))[0] for label in labels)
-    if least > force and all(there >= least for there in present.values()):
-        force = min(least, knows)
-    following = {"format": force, "seen": known}
-    return None if record == following or (record is None and not known) else following
+        if label in present and (label not in known_formats or known_formats[label][0] != present[label]):
+            known_formats[label] = [present[label], round(now, 1)]
+    lowest = min(known_formats.get(label, (0, 0))[0] for label in labels)
+    if lowest > format_in_force and all(alive >= lowest for alive in present.values()):
+        format_in_force = min(lowest, knows)
+    new_record = {"format": format_in_force, "seen": known_formats}
+    return None if record == new_record or (record is None and not known_formats) else new_record
 
 
 class Gate:
--- a/roadhead/membership/member.py
+++ b/roadhead/membership/member.py
@@ -178,9 +178,9 @@
 
     def _take_gate(self, record, stamp):
         """Takes in the format gate's record; stops serving if this version is too old for it."""
-        was = self.gate.force
+        old_format = self.gate.force
         self.gate.take(record, stamp)
-        if self.gate.force != was:
+        if self.gate.force != old_format:
             log.info("format %d of records is in force", self.gate.force)
         if self.gate.outdated and self.joined:
             self._lose()
@@ -353,9 +353,9 @@
 
         Their owners ended before they could delete them. Only the member with the smallest label gets any.
         """
-        before = self._loop.now() - age_s
+        limit = self._loop.now() - age_s
         return (
-            [key for key, since in self._cancel_marks.items() if since <= before]
+            [key for key, since in self._cancel_marks.items() if since <= limit]
             if self.label == min(self.term.members)
             else []
         )
--- a/roadhead/membership/term.py
+++ b/roadhead/membership/term.py
@@ -73,8 +73,8 @@
         entries = dict(members)
         new = Term(self.number + 1, token + 1, entries, self._assign_quota_leaders(entries), relieved)
         if new.homes:
-            lost = set(self.shares.homes) - new.homes
-            new.shares = self.shares.give({**self.shares.spread(lost, new.homes), **moves}, token)
+            former_leaders = set(self.shares.homes) - new.homes
+            new.shares = self.shares.give({**self.shares.spread(former_leaders, new.homes), **moves}, token)
         return new
 
     def _with_new_tokens(self, members, changed, relieved=None):
--- a/roadhead/shares/balance.py
+++ b/roadhead/shares/balance.py
@@ -15,22 +15,22 @@
     `most` of this leader's machines, but always at least one shard, so that the balance is reached.
     """
     counts = shares.counts([label, *takers])
-    bound = most * sum(machines.values())
-    least, over = divmod(sum(counts.values()), len(counts))
-    equal = least + (over > 0)
+    max_machines = most * sum(machines.values())
+    least, rest = divmod(sum(counts.values()), len(counts))
+    equal_part = least + (rest > 0)
     moves = {}
-    moved = 0
+    machines_moved = 0
     for share in shares.of(label):
         if not takers:
             break
         fewest = min(takers, key=lambda taker: (counts[taker], taker))
-        if counts[label] <= equal and (counts[fewest] >= least or counts[label] < max(counts.values())):
+        if counts[label] <= equal_part and (counts[fewest] >= least or counts[label] < max(counts.values())):
             break  # what is left to move is for other leaders to give
-        here = machines.get(share, 0)
-        if moved and moved + here > bound:
+        machines_here = machines.get(share, 0)
+        if machines_moved and machines_moved + machines_here > max_machines:
             break
         moves[share] = fewest
-        moved += here
+        machines_moved += machines_here
         counts[label] -= 1
         counts[fewest] += 1
     return moves
--- a/roadhead/shares/map.py
+++ b/roadhead/shares/map.py
@@ -36,8 +36,8 @@
     def to_record(self):
         """[labels, each shard's place in them, each shard's token]: eight bytes a shard at most."""
         labels = sorted(set(self.homes))
-        places = {label: place for place, label in enumerate(labels)}
-        return [labels, [places[home] for home in self.homes], list(self.tokens)]
+        positions = {label: position for position, label in enumerate(labels)}
+        return [labels, [positions[home] for home in self.homes], list(self.tokens)]
 
     def share(self, machine):
         """The number of the machine's shard."""
