--- a/roadhead/homes/home.py
+++ b/roadhead/homes/home.py
@@ -95,9 +95,9 @@
         self.reconciliation.on_relief(old, new)
         if lost or renewed:
             for machine in list(self.machines.values()):
-                share, (home, token) = new.share(machine.id), new.place(machine.id)
-                if home != self.label:
-                    moved.setdefault(home, []).append(machine)
+                share, (leader, token) = new.share(machine.id), new.place(machine.id)
+                if leader != self.label:
+                    moved.setdefault(leader, []).append(machine)
                 elif (share, token) != (machine.share, machine.token):
                     machine.share, machine.token, machine.confirmed = share, token, 0
                     self.rooms.revoke(machine)
--- a/roadhead/homes/machine.py
+++ b/roadhead/homes/machine.py
@@ -86,10 +86,10 @@
     __slots__ = (
         "_active_without_requirements",
         "_cpus",
+        "_free_capacity",
         "_gpus",
         "_locations",
         "_memory",
-        "_room",
         "active",
         "address",
         "attempts",
@@ -163,7 +163,7 @@
         self.active = 0  # tasks not exited
         self._active_without_requirements = 0  # active tasks whose requirements are unknown
         self._cpus = self._gpus = self._memory = 0.0  # held by active tasks
-        self._room = None
+        self._free_capacity = None
         self.images = {}  # image -> GB: seen in use there, newest last, bounded by the machine's cache
         self.holder = None  # label of the controller that its capacity is granted to
         self.grant_serial = 0
@@ -184,24 +184,24 @@
 
     def room(self):
         """Free (cpus, gpus, memory); none while the requirements of a task are unknown."""
-        room = self._room
-        if room is None:
+        capacity = self._free_capacity
+        if capacity is None:
             kind = self.kind
             if kind is None or self._active_without_requirements:
-                room = NOTHING
+                capacity = NOTHING
             else:
-                room = (kind.cpus - self._cpus, kind.gpus - self._gpus, kind.memory - self._memory)
-            self._room = room
-        return room
+                capacity = (kind.cpus - self._cpus, kind.gpus - self._gpus, kind.memory - self._memory)
+            self._free_capacity = capacity
+        return capacity
 
     def set_type(self, kind):
         """Sets the machine's type once the cloud's types are known."""
         self.kind = kind
-        self._room = None
+        self._free_capacity = None
 
     def _adjust_held(self, task, sign):
         """Adds an active task's requirements to what is held (`sign` 1), or takes them off (-1)."""
-        self._room = None
+        self._free_capacity = None
         self.active += sign
         if task.needs is None:
             self._active_without_requirements += sign
@@ -324,15 +324,19 @@
         return orders, launches
 
 
-def times(need, room):
-    """How many tasks of `need` fit in `room`; compares the leading amounts that both name."""
+def times(required, available):
+    """How many tasks with `required` resources fit in `available`; compares the amounts that both name."""
     count = 1 << 30
-    for part, free in zip(need, room, strict=False):
-        if part > 0:
-            count = min(count, int((free + 1e-6) / part))
+    for amount, free in zip(required, available, strict=False):
+        if amount > 0:
+            count = min(count, int((free + 1e-6) / amount))
     return max(0, count)
 
 
-def fits(need, room):
-    """Whether one task of `need` (cpus, gpus, memory) fits in `room`."""
-    return need[0] <= room[0] + 1e-6 and need[1] <= room[1] + 1e-6 and need[2] <= room[2] + 1e-6
+def fits(required, available):
+    """Whether a task with `required` (cpus, gpus, memory) fits in `available`."""
+    return (
+        required[0] <= available[0] + 1e-6
+        and required[1] <= available[1] + 1e-6
+        and required[2] <= available[2] + 1e-6
+    )
--- a/roadhead/homes/news.py
+++ b/roadhead/homes/news.py
@@ -74,5 +74,5 @@
                 rows.setdefault(owner[0], []).append(
                     (task.job, task.index, task.attempt, task.status, task.cause or "")
                 )
-        for label, told in rows.items():
-            self._send(label, frames.TaskStates(machine.id, machine.zone, told))
+        for label, label_rows in rows.items():
+            self._send(label, frames.TaskStates(machine.id, machine.zone, label_rows))
--- a/roadhead/homes/rooms.py
+++ b/roadhead/homes/rooms.py
@@ -16,13 +16,13 @@
 MAX_HELD_RATIO = 1 / 8  # of the machines may be held back at once for tasks larger than their free capacity
 
 
-def row_fits(row, machine, room):
-    """Whether a task of a Demand row may run in `room` of the machine."""
+def row_fits(row, machine, capacity):
+    """Whether a task of a Demand row may run in this free `capacity` of the machine."""
     return (
         row[COUNT] > 0
-        and row[CPUS] <= room[0] + 1e-6
-        and row[MEMORY] <= room[2] + 1e-6
-        and row[GPUS] <= room[1] + 1e-6
+        and row[CPUS] <= capacity[0] + 1e-6
+        and row[MEMORY] <= capacity[2] + 1e-6
+        and row[GPUS] <= capacity[1] + 1e-6
         and (row[SPOT] or not machine.spot)
         and (not row[ZONE] or row[ZONE] == machine.zone)
         and (not row[TYPES] or machine.type in row[TYPES])
@@ -129,8 +129,8 @@
 
     def _send_grant(self, machine):
         """Tells the grant's holder if the free capacity has changed, and restarts the grant's expiry."""
-        room = machine.room()
-        state = (machine.grant_serial, machine.grant_taken, room)
+        capacity = machine.room()
+        state = (machine.grant_serial, machine.grant_taken, capacity)
         if state == machine.grant_sent:
             return
         machine.grant_sent = state
@@ -145,7 +145,7 @@
                 machine.zone,
                 self.label,
                 machine.spot,
-                *(max(0.0, part) for part in room),
+                *(max(0.0, part) for part in capacity),
                 list(machine.images),
                 self._lapse_s,
             ),
@@ -167,8 +167,8 @@
         """
         if machine.holder is not None or not self.offerable(machine):
             return
-        room = machine.room()
-        if room[0] <= 0 and room[2] <= 0:
+        capacity = machine.room()
+        if capacity[0] <= 0 and capacity[2] <= 0:
             return
         candidates = []  # (place in queue, label, strict) of each controller's first row that fits
         larger = None  # the earliest row that the machine could run if it had more capacity free
@@ -176,7 +176,7 @@
             if not demand.left or machine.declined.get(label) == demand.serial:
                 continue
             for row in demand.rows:  # in queue order
-                if row_fits(row, machine, room):
+                if row_fits(row, machine, capacity):
                     candidates.append((row[PLACE], label, row[STRICT]))
                     break
                 if (larger is None or row[PLACE] < larger[PLACE]) and row_could_fit(row, machine):
@@ -258,16 +258,20 @@
         machines.sort(key=lambda m: (wanted.isdisjoint(m.images), *self._grant_order(m)))
         # Every leader hears the whole demand. Where there is more free capacity than that, each meets its
         # part, so that the machines last in this order run empty and can be released.
-        unmet = demand.left * (1.0 - self.part(sum(m.room()[0] for m in machines)))
+        left_to_others = demand.left * (1.0 - self.part(sum(m.room()[0] for m in machines)))
         for machine in machines:
-            if demand.left <= unmet:
+            if demand.left <= left_to_others:
                 break
             self.offer(machine)
 
-    def part(self, parked):
-        """The fraction of a demand that this leader meets with `parked` suitable free CPUs."""
-        others = sum(free for label, free in self.parked.items() if label != self.label)
-        return min(1.0, DEMAND_PART_MARGIN * parked / (parked + others)) if parked > 0 else 1.0
+    def part(self, suitable_cpus):
+        """The fraction of a demand to be met here, where suitable machines have `suitable_cpus` free."""
+        others = sum(cpus for label, cpus in self.parked.items() if label != self.label)
+        return (
+            min(1.0, DEMAND_PART_MARGIN * suitable_cpus / (suitable_cpus + others))
+            if suitable_cpus > 0
+            else 1.0
+        )
 
     def on_return(self, label, frame):
         """Takes a grant back that its holder returns."""
--- a/roadhead/homes/spec_lookup.py
+++ b/roadhead/homes/spec_lookup.py
@@ -20,40 +20,40 @@
         self._loop = loop
         self._state = state
         self._retry_s = retry_s
-        self._home = None
+        self._leader = None
         self._pending_jobs = set()  # ids of jobs that are being looked up
 
-    def begin(self, home):
+    def begin(self, leader):
         """Starts an incarnation with its ShardLeader; lookups for the previous one are dropped."""
-        self._home = home
+        self._leader = leader
         self._pending_jobs.clear()
 
     def need(self, job_id):
         """Starts a lookup, after which the ShardLeader is told the requirements, or that the job is over."""
         if job_id not in self._pending_jobs:
             self._pending_jobs.add(job_id)
-            self._loop.spawn(self._look_up(job_id, self._home), f"look up {job_id}")
+            self._loop.spawn(self._look_up(job_id, self._leader), f"look up {job_id}")
 
-    async def _look_up(self, job_id, home):
-        while home is self._home:
+    async def _look_up(self, job_id, leader):
+        while leader is self._leader:
             try:
                 record, _stamp = await find(self._state, job_id)
             except (Unavailable, Unsure):
                 await self._loop.sleep(self._retry_s)
                 continue
-            self._tell(home, job_id, record)
+            self._tell(leader, job_id, record)
             break
         self._pending_jobs.discard(job_id)
 
     @staticmethod
-    def _tell(home, job_id, record):
+    def _tell(leader, job_id, record):
         if record is None:
             log.error("found a task of job %s, which has no record", job_id)
         if record is None or record["s"] in FINAL:
-            home.commanding.spec(job_id, None, over=True)
+            leader.commanding.spec(job_id, None, over=True)
             return
         spec = spec_of(record)
-        home.known.owners.setdefault(job_id, tuple(record["o"]))
+        leader.known.owners.setdefault(job_id, tuple(record["o"]))
         needs = Needs(
             (spec.cpus, spec.gpus, spec.memory),
             spec.image or "",
@@ -61,4 +61,4 @@
             spec.save_s,
             spec.checkpoint_s > 0,
         )
-        home.commanding.spec(job_id, needs, over=False)
+        leader.commanding.spec(job_id, needs, over=False)
--- a/roadhead/homes/workers.py
+++ b/roadhead/homes/workers.py
@@ -53,11 +53,11 @@
                 self._loop.spawn(self._ask(machine, silent), f"ask {machine.id}")
 
     async def _ask(self, machine, silent):
-        home = self.home
+        leader = self.home
         try:
             while True:
                 machine.request_again = False
-                if home.machines.get(machine.id) is not machine or not self._member.joined:
+                if leader.machines.get(machine.id) is not machine or not self._member.joined:
                     return
                 if not self._may_command():
                     # A job may have been cancelled without word reaching this controller, and a worker
@@ -66,8 +66,8 @@
                 report = await self._send_once(machine)
                 if report is None:
                     return
-                if home.machines.get(machine.id) is machine and self._member.joined:
-                    home.hearing.observe(machine, report)
+                if leader.machines.get(machine.id) is machine and self._member.joined:
+                    leader.hearing.observe(machine, report)
                 if not machine.request_again:
                     return
         finally:
--- a/roadhead/shares/keeper.py
+++ b/roadhead/shares/keeper.py
@@ -52,13 +52,13 @@
             self.changes.append((now, new.number, len(shares), giver, taker, planned))
         del self.changes[:-MAX_CHANGES_KEPT]
 
-    def tick(self, home):
+    def tick(self, leader):
         """Gives shards away if there are too many here; called with each heartbeat."""
         member, term = self._member, self._member.term
         if member.lapsed():
             return
-        if not self._move_pending and home.reconciliation.settled():
-            moves = step(term.shares, self._label, self._takers(term), home.machines_by_shard())
+        if not self._move_pending and leader.reconciliation.settled():
+            moves = step(term.shares, self._label, self._takers(term), leader.machines_by_shard())
             if moves:
                 self._move_pending = True
                 self._loop.spawn(self._move(moves), "move shares")
--- a/roadhead/shares/map.py
+++ b/roadhead/shares/map.py
@@ -31,13 +31,13 @@
     def from_record(cls, record):
         """The map of a stored record."""
         labels, homes, tokens = record
-        return cls([labels[home] for home in homes], tokens)
+        return cls([labels[position] for position in homes], tokens)
 
     def to_record(self):
         """[labels, each shard's place in them, each shard's token]: eight bytes a shard at most."""
         labels = sorted(set(self.homes))
         positions = {label: position for position, label in enumerate(labels)}
-        return [labels, [positions[home] for home in self.homes], list(self.tokens)]
+        return [labels, [positions[leader] for leader in self.homes], list(self.tokens)]
 
     def share(self, machine):
         """The number of the machine's shard."""
@@ -45,14 +45,14 @@
 
     def of(self, label):
         """{shard: token} of a leader's shards."""
-        return {share: self.tokens[share] for share, home in enumerate(self.homes) if home == label}
+        return {share: self.tokens[share] for share, leader in enumerate(self.homes) if leader == label}
 
     def counts(self, labels):
         """{label: number of shards that it leads}."""
         counts = dict.fromkeys(labels, 0)
-        for home in self.homes:
-            if home in counts:
-                counts[home] += 1
+        for leader in self.homes:
+            if leader in counts:
+                counts[leader] += 1
         return counts
 
     def give(self, moves, token):
@@ -72,8 +72,8 @@
         """
         counts = self.counts(homes)
         moves = {}
-        for share, home in enumerate(self.homes):
-            if home in lost:
+        for share, leader in enumerate(self.homes):
+            if leader in lost:
                 fewest = min(counts.values())
                 label = pick([name for name in counts if counts[name] == fewest], f"share {share}")
                 counts[label] += 1
