--- a/roadhead/homes/known.py
+++ b/roadhead/homes/known.py
@@ -24,7 +24,7 @@
         self.locations = {}  # job -> {Task: its machine}
         self.gone = {}  # name of a machine that certainly no longer runs -> since when
         self.owners = {}  # job -> (label, incarnation)
-        self.specs = {}  # job -> Needs
+        self.specs = {}  # job -> TaskRequirements
         self.cancelled = {}  # job that is done or cancelled -> since when; none of its tasks may run
         self.proven = {}  # job of which a task succeeded here -> when
         self.faulty = {}  # job that fails wherever it runs, by its owner's word -> since when
--- a/roadhead/homes/rooms.py
+++ b/roadhead/homes/rooms.py
@@ -8,7 +8,7 @@
 from roadhead.wire import frames
 
 DEMAND_PART_MARGIN = 1.2  # the other leaders' free capacity may have shrunk since they told of it
-PLACE, CPUS, GPUS, MEMORY, COUNT, SPOT, ZONE, TYPES, STRICT = range(9)  # of a Demand's rows
+PLACE, CPUS, GPUS, MEMORY, COUNT, SPOT, ZONE, TYPES, STRICT = range(9)  # of a waiting row
 MAX_HOLD_WINDOWS = 2.5  # for which a machine's capacity is held back at most
 # Rows of one shape are merged only within a span of so many windows of the queue: those far behind must not
 # take the place of the first ones.
@@ -17,7 +17,7 @@
 
 
 def row_fits(row, machine, capacity):
-    """Whether a task of a Demand row may run in this free `capacity` of the machine."""
+    """Whether a task of a row of a Demand frame may run in this free `capacity` of the machine."""
     return (
         row[COUNT] > 0
         and row[CPUS] <= capacity[0] + 1e-6
@@ -30,7 +30,7 @@
 
 
 def row_could_fit(row, machine):
-    """Whether a task of a Demand row could run on the machine if it were empty."""
+    """Whether a task of a row of a Demand frame could run on the machine if it were empty."""
     kind = machine.kind
     return (
         row[COUNT] > 0
@@ -81,7 +81,7 @@
         self._random = random
         self._send = send
         self._count = counters.add
-        self.demand = {}  # label -> Demand
+        self.demand = {}  # label -> ControllerDemand
         self.window_s = 0.0  # rows due within this time of one another are equally urgent
         self.held = {}  # machine -> since when its capacity is held back for a larger task
         self.parked = {}  # leader's label -> its free CPUs that are granted to nobody, as last told
--- a/roadhead/homes/shard_reconciliation.py
+++ b/roadhead/homes/shard_reconciliation.py
@@ -68,7 +68,7 @@
         self._decisions = decisions
         self._claims = {}  # name of a machine -> {(job, index, attempt): owner}
         self._syncs = []  # PendingSync, in order of arrival
-        self._fences = {}  # shard led here -> Fence
+        self._fences = {}  # shard led here -> ShardFence
         self._unverified = {}  # shards that may not be reconciled -> True; an ordered set
         self._relief = Relief(member.label)
 
@@ -273,7 +273,7 @@
             self._news.tell(owner, frames.Free(name, *key, cause))
 
     def _unknown_claimed_machines(self):
-        """(name, Fence of its shard) of claimed machines that are not known here."""
+        """(name, ShardFence) of claimed machines that are not known here."""
         term = self._member.term
         return [
             (name, fence)
--- a/roadhead/membership/member.py
+++ b/roadhead/membership/member.py
@@ -51,7 +51,7 @@
         self._on_cancel = on_cancel
         self.gate = gate
         self._time_of_day = time_of_day
-        self._slots = slots  # least number of quota partitions in a term that this process joins
+        self._partitions = slots  # least number of quota partitions in a term that this process joins
         self._on_tenant = on_tenant  # None where no tenants are served
         self.term = None
         self.revision = 0
@@ -148,7 +148,7 @@
             if entry is not None and entry[2] == nonce:
                 break  # an earlier try succeeded although its answer was lost
             self.replaced = entry is not None and self.label not in term.relieved
-            new = term.spread(self._slots).join(self.label, nonce)
+            new = term.spread(self._partitions).join(self.label, nonce)
             try:
                 await self._state.multi(
                     [(TERM, self.revision)],
@@ -156,7 +156,7 @@
                         {"put": TERM, "data": new.to_record()},
                         {
                             "put": MEMBER + self.label,
-                            "data": self._entry(term.next),
+                            "data": self._member_record(term.next),
                             "permit": self._lease_id,
                         },
                     ],
@@ -172,11 +172,11 @@
             self._absence.set()
         return True
 
-    def _entry(self, incarnation):
+    def _member_record(self, incarnation):
         """This member's record, which exists as long as its lease."""
         return {"incarnation": incarnation, "format": self.gate.knows}
 
-    def _take_gate(self, record, stamp):
+    def _apply_gate(self, record, stamp):
         """Takes in the format gate's record; stops serving if this version is too old for it."""
         old_format = self.gate.force
         self.gate.take(record, stamp)
@@ -204,15 +204,15 @@
         record = self.gate.following(dict(self._live_formats), self._time_of_day())
         if record is not None:
             self._gate_write_pending = True
-            self._loop.spawn(self._raise_gate(record), "gate")
+            self._loop.spawn(self._write_gate(record), "gate")
 
-    async def _raise_gate(self, record):
+    async def _write_gate(self, record):
         # A controller that joins changes the term, so the condition on it excludes members not looked at.
         try:
             stamp = await self._state.multi(
                 [(GATE, self.gate.stamp), (TERM, self.revision)], [{"put": GATE, "data": record}]
             )
-            self._take_gate(record, stamp)
+            self._apply_gate(record, stamp)
         except (Unavailable, Unsure, Conflict) as error:
             log.debug("gate: %r", error)
         finally:
@@ -222,7 +222,7 @@
         """Reads all records below PREFIX and takes them in, as the start of a watch."""
         sent_at = self._loop.now()
         items, revision = await self._state.list(PREFIX)
-        self._entry_stamp = next((stamp for key, _value, stamp in items if key == MEMBER + self.label), 0)
+        self._member_stamp = next((stamp for key, _value, stamp in items if key == MEMBER + self.label), 0)
         self._live_formats = {
             key[len(MEMBER) :]: value["format"] for key, value, _ in items if key.startswith(MEMBER)
         }
@@ -230,7 +230,7 @@
             if key == TERM:
                 self.adopt(value, stamp)
             elif key == GATE:
-                self._take_gate(value, stamp)
+                self._apply_gate(value, stamp)
             elif self._on_tenant is not None and key.startswith(TENANT):
                 self._on_tenant(key, value, stamp)
         marks = [key for key, _, _ in items if key.startswith(CANCEL)]
@@ -246,7 +246,7 @@
         self.term_at = max(self.term_at, sent_at)
 
     async def confirm(self):
-        """Reads the term, and adopts it if it is newer. Raises Unavailable or Unsure."""
+        """Reads the term, and adopts it if it is newer. Raises UnavailableError or UnknownOutcomeError."""
         sent_at = self._loop.now()
         record, revision = await self._state.get(TERM)
         if record is not None:
@@ -281,11 +281,11 @@
             # The condition on the record's own revision keeps an earlier try from taking effect later and
             # tying the record to a lease that nobody renews.
             await self._state.multi(
-                [(TERM, self.revision), (MEMBER + self.label, self._entry_stamp)],
+                [(TERM, self.revision), (MEMBER + self.label, self._member_stamp)],
                 [
                     {
                         "put": MEMBER + self.label,
-                        "data": self._entry(self.incarnation),
+                        "data": self._member_record(self.incarnation),
                         "permit": lease_id,
                     }
                 ],
@@ -317,7 +317,7 @@
                 if key == TERM and "put" in event:
                     self.adopt(event["data"], event["stamp"])
                 elif key == GATE and "put" in event:
-                    self._take_gate(event["data"], event["stamp"])
+                    self._apply_gate(event["data"], event["stamp"])
                 elif key.startswith(MEMBER):
                     label = key[len(MEMBER) :]
                     if "put" in event:
@@ -342,7 +342,7 @@
         """When the newest cancellation mark became known here, None if there are no marks.
 
         Considers all marks that were durable when this was called; a mark exists while tasks of its job may
-        run. Raises Unavailable or Unsure.
+        run. Raises UnavailableError or UnknownOutcomeError.
         """
         items, _revision = await self._state.list(CANCEL)
         now = self._loop.now()
