--- a/roadhead/homes/rooms.py
+++ b/roadhead/homes/rooms.py
@@ -17,7 +17,7 @@
 
 
 def row_fits(row, machine, capacity):
-    """Whether a task of a row of a Demand frame may run in this free `capacity` of the machine."""
+    """Whether a task of a Demand frame's row may run in this free `capacity` of the machine."""
     return (
         row[COUNT] > 0
         and row[CPUS] <= capacity[0] + 1e-6
@@ -30,7 +30,7 @@
 
 
 def row_could_fit(row, machine):
-    """Whether a task of a row of a Demand frame could run on the machine if it were empty."""
+    """Whether a task of a Demand frame's row could run on the machine if it were empty."""
     kind = machine.kind
     return (
         row[COUNT] > 0
