--- a/roadhead/homes/rooms.py
+++ b/roadhead/machines/capacity_grants.py
@@ -4,7 +4,7 @@
 frames go out through `send`.
 """
 
-from roadhead.homes.machine import fits, times
+from roadhead.machines.machine import fits, fitting_count
 from roadhead.wire import frames
 
 DEMAND_PART_MARGIN = 1.2  # the other leaders' free capacity may have shrunk since they told of it
@@ -41,7 +41,7 @@
     )
 
 
-class Demand:
+class ControllerDemand:
     """What waits at a controller: rows in the order of its queue, and the length of its idle list."""
 
     __slots__ = ("left", "length", "rows", "serial")
@@ -54,10 +54,10 @@
 
     def serve(self, machine):
         """Takes the tasks that a granted machine can run off what waits."""
-        remaining = machine.room()
+        remaining = machine.free_capacity()
         for row in self.rows:
             if row_fits(row, machine, remaining):
-                count = min(row[COUNT], times(row[CPUS : MEMORY + 1], remaining))
+                count = min(row[COUNT], fitting_count(row[CPUS : MEMORY + 1], remaining))
                 row[COUNT] -= count
                 self.left -= count
                 remaining = (
@@ -67,7 +67,7 @@
                 )
 
 
-class Rooms:
+class CapacityGranter:
     """Grants the free capacity of this leader's machines to controllers with waiting tasks.
 
     `machines`: name -> Machine; `lapse_s`: how long a grant lasts unused; `random`: a random.Random.
@@ -84,59 +84,59 @@
         self.demand = {}  # label -> ControllerDemand
         self.window_s = 0.0  # rows due within this time of one another are equally urgent
         self.held = {}  # machine -> since when its capacity is held back for a larger task
-        self.parked = {}  # leader's label -> its free CPUs that are granted to nobody, as last told
+        self.free_cpus = {}  # leader's label -> its free CPUs that are granted to nobody, as last told
         self._serial = 0
 
-    def offerable(self, machine):
+    def can_grant(self, machine):
         """Whether the machine's free capacity may be granted."""
         return (
-            machine.confirmed == machine.token
+            machine.confirmed_token == machine.token
             and not machine.draining
             and not machine.quarantined_until
             and machine.notice_at is None
             and machine.kind is not None
         )
 
-    def heard(self, label, length):
+    def set_idle_length(self, label, length):
         """Records the length of a controller's idle list, which its frames tell (PAPER 3)."""
         demand = self.demand.get(label)
         if demand is not None:
             demand.length = length
 
-    def peer_down(self, label):
+    def forget_controller(self, label):
         """Takes back all grants to a controller whose link is down, and drops its demand."""
         self.demand.pop(label, None)
-        self.parked.pop(label, None)
+        self.free_cpus.pop(label, None)
         for machine in self._machines.values():
-            if machine.holder == label:
-                machine.holder = None
-                machine.declined.clear()
+            if machine.grant_holder == label:
+                machine.grant_holder = None
+                machine.declined_demands.clear()
 
     def revoke(self, machine):
         """Takes back the machine's grant, if it has one."""
-        holder, machine.holder = machine.holder, None
+        holder, machine.grant_holder = machine.grant_holder, None
         if holder is not None:
-            self._send(holder, frames.Revoke(machine.id, machine.grant_serial))
+            self._send(holder, frames.RevokeGrant(machine.id, machine.grant_serial))
 
-    def changed(self, machine):
+    def on_capacity_changed(self, machine):
         """Updates, offers or revokes the capacity of a machine after a change."""
-        if machine.holder is None:
-            self.offer(machine)
-        elif self.offerable(machine):
+        if machine.grant_holder is None:
+            self.grant(machine)
+        elif self.can_grant(machine):
             self._send_grant(machine)
         else:
             self.revoke(machine)
 
     def _send_grant(self, machine):
         """Tells the grant's holder if the free capacity has changed, and restarts the grant's expiry."""
-        capacity = machine.room()
+        capacity = machine.free_capacity()
         state = (machine.grant_serial, machine.grant_taken, capacity)
         if state == machine.grant_sent:
             return
         machine.grant_sent = state
         machine.grant_lapse_at = self._loop.now() + self._lapse_s
         self._send(
-            machine.holder,
+            machine.grant_holder,
             frames.Grant(
                 machine.id,
                 machine.grant_serial,
@@ -156,24 +156,24 @@
         """Sort key of machines to grant: cheap and full ones first, so that others run empty."""
         kind = machine.kind
         price = kind.spot_price if machine.spot and kind.spot_price is not None else kind.price
-        return (round(price / max(kind.cpus, 1e-6), 3), machine.room()[0])
+        return (round(price / max(kind.cpus, 1e-6), 3), machine.free_capacity()[0])
 
-    def offer(self, machine):
+    def grant(self, machine):
         """Grants the machine's capacity by the join rule of JIQ.
 
         It goes to a random controller whose idle list was empty when last heard of, else to any. Only
         controllers with a waiting row that fits take part, and of them those whose first such row comes
         earliest.
         """
-        if machine.holder is not None or not self.offerable(machine):
+        if machine.grant_holder is not None or not self.can_grant(machine):
             return
-        capacity = machine.room()
+        capacity = machine.free_capacity()
         if capacity[0] <= 0 and capacity[2] <= 0:
             return
         candidates = []  # (place in queue, label, strict) of each controller's first row that fits
         larger = None  # the earliest row that the machine could run if it had more capacity free
         for label, demand in self.demand.items():
-            if not demand.left or machine.declined.get(label) == demand.serial:
+            if not demand.left or machine.declined_demands.get(label) == demand.serial:
                 continue
             for row in demand.rows:  # in queue order
                 if row_fits(row, machine, capacity):
@@ -201,7 +201,7 @@
         demand.length += 1
         demand.serve(machine)
         self._serial += 1
-        machine.holder = label
+        machine.grant_holder = label
         machine.grant_serial = self._serial
         machine.grant_taken = 0
         machine.grant_sent = None
@@ -243,30 +243,30 @@
             else:
                 row[COUNT] += count
         self._serial += 1
-        demand = self.demand[label] = Demand(self._serial, frame.length, list(rows.values()))
+        demand = self.demand[label] = ControllerDemand(self._serial, frame.length, list(rows.values()))
         if not demand.left:
             return
         smallest = min(row[CPUS] for row in demand.rows), min(row[MEMORY] for row in demand.rows)
         machines = [
             machine
             for machine in self._machines.values()
-            if machine.holder is None
-            and fits((smallest[0], 0.0, smallest[1]), machine.room())
-            and self.offerable(machine)
+            if machine.grant_holder is None
+            and fits((smallest[0], 0.0, smallest[1]), machine.free_capacity())
+            and self.can_grant(machine)
         ]
         wanted = set(frame.images)
         machines.sort(key=lambda m: (wanted.isdisjoint(m.images), *self._grant_order(m)))
         # Every leader hears the whole demand. Where there is more free capacity than that, each meets its
         # part, so that the machines last in this order run empty and can be released.
-        left_to_others = demand.left * (1.0 - self.part(sum(m.room()[0] for m in machines)))
+        left_to_others = demand.left * (1.0 - self.part(sum(m.free_capacity()[0] for m in machines)))
         for machine in machines:
             if demand.left <= left_to_others:
                 break
-            self.offer(machine)
+            self.grant(machine)
 
     def part(self, suitable_cpus):
         """The fraction of a demand to be met here, where suitable machines have `suitable_cpus` free."""
-        others = sum(cpus for label, cpus in self.parked.items() if label != self.label)
+        others = sum(cpus for label, cpus in self.free_cpus.items() if label != self.label)
         return (
             min(1.0, DEMAND_PART_MARGIN * suitable_cpus / (suitable_cpus + others))
             if suitable_cpus > 0
@@ -275,16 +275,16 @@
 
     def on_return(self, label, frame):
         """Takes a grant back that its holder returns."""
-        self.heard(label, frame.length)
-        self.returned(label, self._machines.get(frame.machine), frame.serial)
+        self.set_idle_length(label, frame.length)
+        self.release_grant(label, self._machines.get(frame.machine), frame.serial)
 
-    def returned(self, label, machine, serial):
+    def release_grant(self, label, machine, serial):
         """Ends the grant of that serial, and offers the capacity to controllers that have not declined it."""
-        if machine is None or machine.holder != label or machine.grant_serial != serial:
+        if machine is None or machine.grant_holder != label or machine.grant_serial != serial:
             return
         self._count("returns")
-        machine.holder = None
+        machine.grant_holder = None
         demand = self.demand.get(label)
         if demand is not None:
-            machine.declined[label] = demand.serial
-        self.offer(machine)
+            machine.declined_demands[label] = demand.serial
+        self.grant(machine)
--- a/roadhead/homes/faults.py
+++ b/roadhead/machines/failure_history.py
@@ -8,32 +8,32 @@
 MIN_FAILING_JOBS = 4  # so many jobs failing on one machine, with no success between, are not all at fault
 
 
-class Faults:
+class FailureHistory:
     """Counts failures by machine and job, and drains machines at fault.
 
     `drain(machine)` takes a machine out of use; `report_s` is the workers' report interval.
     """
 
-    def __init__(self, loop, known, rooms, report_s, drain, counters):
+    def __init__(self, loop, registry, capacity_granter, report_s, drain, counters):
         self._loop = loop
-        self._known = known
-        self._rooms = rooms
+        self._registry = registry
+        self._capacity_granter = capacity_granter
         self._report_s = report_s
         self._drain = drain
         self._count = counters.add
         self._quarantined = {}  # quarantined machines -> True; an ordered set
 
-    def exited(self, machine, task):
+    def on_task_exited(self, machine, task):
         """Updates the failure counts after a task of the machine has exited."""
-        known, now = self._known, self._loop.now()
-        if not machine.busy():
+        registry, now = self._registry, self._loop.now()
+        if not machine.is_busy():
             machine.idle_since = now
         if task.cause == "done":
             machine.tasks_done += 1
             machine.errors.clear()
             machine.quarantine_count = 0
-            known.proven[task.job] = now
-            known.faulty.pop(task.job, None)
+            registry.proven[task.job] = now
+            registry.faulty.pop(task.job, None)
             self._end_quarantine(machine)
         elif task.cause == "error":
             machine.errors[task.job] = machine.errors.get(task.job, 0) + 1
@@ -49,25 +49,25 @@
                 )
                 machine.quarantine_count += 1
                 self._quarantined[machine] = True
-                self._rooms.changed(machine)
+                self._capacity_granter.on_capacity_changed(machine)
 
     def _failure_counts(self, machine, proven=False):
         """Failures of each job on the machine, without jobs known to fail everywhere.
 
         `proven`: only those of jobs that have succeeded on a machine of this leader.
         """
-        known = self._known
+        registry = self._registry
         return [
             count
             for job, count in machine.errors.items()
-            if job not in known.faulty and (not proven or job in known.proven)
+            if job not in registry.faulty and (not proven or job in registry.proven)
         ]
 
     def _end_quarantine(self, machine):
         if machine.quarantined_until:
             machine.quarantined_until = 0.0
             self._quarantined.pop(machine, None)
-            self._rooms.changed(machine)
+            self._capacity_granter.on_capacity_changed(machine)
 
     def evaluate(self, machine):
         """Drains a quarantined machine if its failures are its own, else puts it back into use.
@@ -88,11 +88,11 @@
 
     def on_job_fails(self, job):
         """Records that a job fails wherever it runs, and ends quarantines that rest on it."""
-        self._known.faulty[job] = self._loop.now()
+        self._registry.faulty[job] = self._loop.now()
         for machine in list(self._quarantined):
             if sum(self._failure_counts(machine)) < 2:
                 self._end_quarantine(machine)
 
-    def let_go(self, machine):
+    def forget_machine(self, machine):
         """Forgets a machine that this controller no longer leads."""
         self._quarantined.pop(machine, None)
--- a/roadhead/homes/machine.py
+++ b/roadhead/machines/machine.py
@@ -2,17 +2,17 @@
 
 from typing import NamedTuple
 
-from roadhead.homes.worker_lease import WorkerLease
+from roadhead.machines.worker_lease import WorkerLease
 from roadhead.wire import messages
 
 LAUNCHING = "launching"
 EXITED = "exited"
 
 
-class Needs(NamedTuple):
+class TaskRequirements(NamedTuple):
     """What a shard leader must know of a job to run its tasks; `resources` is (cpus, gpus, memory)."""
 
-    room: tuple
+    resources: tuple
     image: str
     image_gb: float
     save_s: float
@@ -29,14 +29,14 @@
         "index",
         "job",
         "last_read",
-        "loose_token",
         "name",
-        "needs",
         "owner",
+        "requirements",
         "saved",
+        "sent_state",
         "status",
         "stop_grace",
-        "told",
+        "unacked_launch_token",
         "was_reported",
     )
 
@@ -48,16 +48,16 @@
         self.owner = owner  # (label, incarnation)
         self.cause = None
         self.saved = False
-        self.needs = None
+        self.requirements = None
         self.was_reported = False
         self.last_read = 0  # value of the machine's `reports_read` when a report last showed it
         self.name = None  # as the machine reports it, None before
-        self.told = None  # (status, cause, owner) as last sent to the owner
+        self.sent_state = None  # (status, cause, owner) as last sent to the owner
         self.stop_grace = None
         self.forget = False
         # Token of a direct launch that went unanswered: it may still arrive, as long as
         # the worker knows neither a higher token nor a later session. 0 without one.
-        self.loose_token = 0
+        self.unacked_launch_token = 0
 
     @property
     def key(self):
@@ -65,12 +65,12 @@
         return self.job, self.index, self.attempt
 
 
-NOTHING = (0.0, 0.0, 0.0)
+NO_RESOURCES = (0.0, 0.0, 0.0)
 
 
-def about(machine, task=None):
+def decision_subject(machine, task=None):
     """The subject of a decision about a machine, or about an attempt on it (decision_log.py)."""
-    subject = {"machine": machine.id, "shard": machine.share, "token": machine.token}
+    subject = {"machine": machine.id, "shard": machine.shard, "token": machine.token}
     if task is not None:
         subject |= {"task": messages.task_name(task.job, task.index), "attempt": task.attempt}
     return subject
@@ -95,18 +95,18 @@
         "attempts",
         "born_at",
         "by_name",
-        "confirmed",
         "confirmed_at",
-        "declined",
+        "confirmed_token",
+        "declined_demands",
         "direct_at",
         "draining",
         "errors",
+        "grant_holder",
         "grant_lapse_at",
         "grant_sent",
         "grant_serial",
         "grant_taken",
         "heard_at",
-        "holder",
         "id",
         "idle_since",
         "images",
@@ -114,6 +114,7 @@
         "lease",
         "listed_at",
         "notice_at",
+        "pending_commands",
         "quarantine_count",
         "quarantined_until",
         "reported",
@@ -122,19 +123,18 @@
         "request_in_flight",
         "sequence",
         "session",
-        "share",
+        "shard",
         "spot",
         "taken_on",
         "tasks",
         "tasks_done",
-        "todo",
         "token",
         "type",
         "up",
         "zone",
     )
 
-    def __init__(self, name, address, kind_name, zone, spot, kind, now, locations, share, token):
+    def __init__(self, name, address, kind_name, zone, spot, kind, now, locations, shard, token):
         self._locations = locations  # job -> {Task: its machine}, of all machines of the leader
         self.id = name
         self.address = address
@@ -144,9 +144,9 @@
         self.spot = spot
         self.session = 0
         self.sequence = -1
-        self.share = share
+        self.shard = shard
         self.token = token  # the fencing token that its commands carry
-        self.confirmed = 0  # token that its newest report carried, 0 if none of this leader
+        self.confirmed_token = 0  # token that its newest report carried, 0 if none of this leader
         self.confirmed_at = 0.0
         self.heard_at = None
         self.lease = WorkerLease(now)
@@ -159,18 +159,18 @@
         self.by_name = {}  # (task's name, attempt) as reported -> Task
         self.reported = None  # newest confirmed task list, None once tasks were dropped since
         self.reports_read = 0  # task lists compared with `tasks` so far
-        self.todo = {}  # tasks that may have commands to be carried out
+        self.pending_commands = {}  # tasks that may have commands to be carried out
         self.active = 0  # tasks not exited
         self._active_without_requirements = 0  # active tasks whose requirements are unknown
         self._cpus = self._gpus = self._memory = 0.0  # held by active tasks
         self._free_capacity = None
         self.images = {}  # image -> GB: seen in use there, newest last, bounded by the machine's cache
-        self.holder = None  # label of the controller that its capacity is granted to
+        self.grant_holder = None  # label of the controller that its capacity is granted to
         self.grant_serial = 0
         self.grant_taken = 0
         self.grant_sent = None
         self.grant_lapse_at = 0.0
-        self.declined = {}  # label -> serial of its demand that had no use for the capacity
+        self.declined_demands = {}  # label -> serial of its demand that had no use for the capacity
         self.idle_since = now
         self.draining = False
         self.taken_on = False
@@ -182,13 +182,13 @@
         self.request_again = False  # another one is to follow it
         self.direct_at = 0.0
 
-    def room(self):
+    def free_capacity(self):
         """Free (cpus, gpus, memory); none while the requirements of a task are unknown."""
         capacity = self._free_capacity
         if capacity is None:
             kind = self.kind
             if kind is None or self._active_without_requirements:
-                capacity = NOTHING
+                capacity = NO_RESOURCES
             else:
                 capacity = (kind.cpus - self._cpus, kind.gpus - self._gpus, kind.memory - self._memory)
             self._free_capacity = capacity
@@ -203,28 +203,28 @@
         """Adds an active task's requirements to what is held (`sign` 1), or takes them off (-1)."""
         self._free_capacity = None
         self.active += sign
-        if task.needs is None:
+        if task.requirements is None:
             self._active_without_requirements += sign
         elif self.active == self._active_without_requirements:
             self._cpus = self._gpus = self._memory = 0.0  # so that rounding errors don't add up
         else:
-            cpus, gpus, memory = task.needs.room
+            cpus, gpus, memory = task.requirements.resources
             self._cpus += sign * cpus
             self._gpus += sign * gpus
             self._memory += sign * memory
 
-    def put(self, task):
+    def add_task(self, task):
         """Adds a task to the machine."""
         self.tasks[task.key] = task
         name = task.job, task.index
         self.attempts[name] = self.attempts.get(name, 0) + 1
         self._locations.setdefault(task.job, {})[task] = self
         if task.status == LAUNCHING:
-            self.todo[task.key] = task
+            self.pending_commands[task.key] = task
         if task.status != EXITED:
             self._adjust_held(task, 1)
 
-    def drop(self, task):
+    def remove_task(self, task):
         """Removes a task from the machine, if it is there."""
         if self.tasks.pop(task.key, None) is None:
             return
@@ -233,7 +233,7 @@
         self.attempts[name] -= 1
         if not self.attempts[name]:
             del self.attempts[name]
-        self.todo.pop(task.key, None)
+        self.pending_commands.pop(task.key, None)
         if task.name is not None:
             self.by_name.pop((task.name, task.attempt), None)
         self.reported = None
@@ -246,7 +246,7 @@
         if not places:
             del self._locations[task.job]
 
-    def leave(self):
+    def detach(self):
         """Removes all tasks, also from the leader's lookup by job."""
         for task in self.tasks.values():
             self._remove_location(task)
@@ -259,41 +259,41 @@
         if (old_status == EXITED) != (status == EXITED):
             self._adjust_held(task, -1 if status == EXITED else 1)
 
-    def note_image(self, needs):
+    def note_image(self, requirements):
         """Notes that a task uses the image; the machine evicts the images unused for longest."""
-        if not needs.image:
+        if not requirements.image:
             return
-        self.images.pop(needs.image, None)
-        self.images[needs.image] = needs.image_gb
+        self.images.pop(requirements.image, None)
+        self.images[requirements.image] = requirements.image_gb
         size = sum(self.images.values())
         limit_gb = self.kind.cache_gb if self.kind is not None else 0.0
         while size > limit_gb and len(self.images) > 1:
             size -= self.images.pop(next(iter(self.images)))
 
-    def learn(self, task, needs):
+    def set_requirements(self, task, requirements):
         """Sets the requirements of a task, unknown until now."""
         is_active = task.status != EXITED
         if is_active:
             self._adjust_held(task, -1)
-        task.needs = needs
+        task.requirements = requirements
         if is_active:
             self._adjust_held(task, 1)
 
     def stop(self, task, grace):
         """Has the worker stop a task, with `grace` seconds to save."""
         task.stop_grace = grace
-        self.todo[task.key] = task
+        self.pending_commands[task.key] = task
 
     def forget(self, task):
         """Has the worker forget an attempt once it has exited."""
         task.forget = True
-        self.todo[task.key] = task
+        self.pending_commands[task.key] = task
 
-    def busy(self):
+    def is_busy(self):
         """Whether tasks are active there."""
         return self.active > 0
 
-    def empty(self):
+    def is_empty(self):
         """Whether nothing runs there and no success there is still to be recorded."""
         return not self.active and all(task.forget or task.cause != "done" for task in self.tasks.values())
 
@@ -305,7 +305,7 @@
         """
         orders = []
         launches = []
-        for task in list(self.todo.values()):
+        for task in list(self.pending_commands.values()):
             wanted = False
             if task.status == LAUNCHING:
                 wanted = True
@@ -317,14 +317,14 @@
                     orders.append(messages.stop(*task.key, task.stop_grace))
             elif task.forget:
                 wanted = True
-                if task.status == EXITED and not task.loose_token:
+                if task.status == EXITED and not task.unacked_launch_token:
                     orders.append(messages.forget(*task.key))
             if not wanted:
-                del self.todo[task.key]
+                del self.pending_commands[task.key]
         return orders, launches
 
 
-def times(required, available):
+def fitting_count(required, available):
     """How many tasks with `required` resources fit in `available`; compares the amounts that both name."""
     count = 1 << 30
     for amount, free in zip(required, available, strict=False):
--- a/roadhead/homes/known.py
+++ b/roadhead/machines/machine_registry.py
@@ -1,12 +1,12 @@
 """What a shard leader knows: its machines, where each job's tasks are, who owns them and what they need."""
 
-from roadhead.homes.machine import Machine
-from roadhead.membership.touch import KEPT
+from roadhead.machines.machine import Machine
+from roadhead.membership.cancellation_freshness import CANCELLATION_KEPT_FACTOR
 
 MAX_CANCELLED = 5000  # jobs known to be over, above which old ones are forgotten
 
 
-class Known:
+class MachineRegistry:
     """The tables shared by the parts of a shard leader.
 
     `member` gives each machine's shard and token. `lease_s`, `cancel_s` and the machine list's `lag_s`, in
@@ -29,7 +29,7 @@
         self.proven = {}  # job of which a task succeeded here -> when
         self.faulty = {}  # job that fails wherever it runs, by its owner's word -> since when
 
-    def take_on(self, name, address, kind_name, zone, spot, now):
+    def register(self, name, address, kind_name, zone, spot, now):
         """Adds a machine that this controller leads from now on, and returns it."""
         term = self._member.term
         machine = Machine(
@@ -41,18 +41,18 @@
             self.types.get(kind_name),
             now,
             self.locations,
-            term.share(name),
-            term.place(name)[1],
+            term.shard_of(name),
+            term.leader_and_token(name)[1],
         )
         self.machines[name] = machine
         return machine
 
-    def let_go(self, machine):
+    def remove(self, machine):
         """Removes a machine that is gone or has another leader, and its tasks from the lookup by job."""
         self.machines.pop(machine.id, None)
-        machine.leave()
+        machine.detach()
 
-    def on_machines(self, jobs):
+    def tasks_by_machine(self, jobs):
         """{machine: [its tasks of these jobs]}."""
         found = {}
         for job in jobs:
@@ -80,7 +80,7 @@
             self.cancelled = {
                 job: at
                 for job, at in self.cancelled.items()
-                if job in live_jobs or at > now - KEPT * self._cancel_s
+                if job in live_jobs or at > now - CANCELLATION_KEPT_FACTOR * self._cancel_s
             }
         self.faulty = {job: at for job, at in self.faulty.items() if job in live_jobs or at > oldest_kept}
         self.proven = {job: at for job, at in self.proven.items() if job in live_jobs or at > oldest_kept}
--- a/roadhead/homes/relief.py
+++ b/roadhead/machines/relieved_controllers.py
@@ -6,7 +6,7 @@
 """
 
 
-class Relief:
+class RelievedControllers:
     """The relieved controllers that may not know; `label` is this controller's own, which is left out."""
 
     def __init__(self, label):
@@ -34,7 +34,7 @@
         before = old.relieved if new.number == old.number + 1 else frozenset()
         self._unaware.update(dict.fromkeys(new.relieved - before - {self._label}, new.number))
 
-    def hear_term(self, label, number):
+    def on_peer_term(self, label, number):
         """Removes a controller whose current incarnation serves a term by which it is relieved."""
         if label in self._unaware and number >= self._unaware[label]:
             del self._unaware[label]
--- a/roadhead/homes/home.py
+++ b/roadhead/machines/shard_leader.py
@@ -8,16 +8,16 @@
 from itertools import chain
 
 from roadhead.decision_log import Decision
-from roadhead.homes.commanding import Commanding
-from roadhead.homes.faults import Faults
-from roadhead.homes.handover import handover
-from roadhead.homes.hearing import Hearing
-from roadhead.homes.known import Known
-from roadhead.homes.machine import EXITED, Needs, about
-from roadhead.homes.news import News
-from roadhead.homes.rooms import Rooms
-from roadhead.homes.shard_reconciliation import ShardReconciliation
-from roadhead.homes.worker_lease import CLOCK_DRIFT
+from roadhead.machines.capacity_grants import CapacityGranter
+from roadhead.machines.failure_history import FailureHistory
+from roadhead.machines.handover import handover
+from roadhead.machines.machine import EXITED, TaskRequirements, decision_subject
+from roadhead.machines.machine_registry import MachineRegistry
+from roadhead.machines.owner_notifier import OwnerNotifier
+from roadhead.machines.report_processor import ReportProcessor
+from roadhead.machines.shard_reconciliation import ShardReconciliation
+from roadhead.machines.task_commands import TaskCommands
+from roadhead.machines.worker_lease import CLOCK_DRIFT
 
 log = logging.getLogger("roadhead.home")
 
@@ -26,7 +26,7 @@
 SPARE_RATIO = 0.25  # free CPUs beside those in use above which idle machines are released sooner
 
 
-class Home:
+class ShardLeader:
     """Leads the machines of this controller's shards during one incarnation.
 
     `capacity_granter` grants free capacity, `report_processor` takes in reports, `task_commands` handles
@@ -44,31 +44,42 @@
         self._ask = ask
         self._count = counters.add
         self._decisions = decisions
-        self.awake_at = 0.0  # end of this process's last stall, in loop time
-        self.undecided = False
+        self.running_since = 0.0  # end of this process's last stall, in loop time
+        self.has_undecided_leases = False
         lag_s = deployment.cloud.list_lag_s
-        self.known = known = Known(member, workers.lease_s, workers.cancel_s, lag_s)
-        self.machines = known.machines
-        self._news = News(member, known, send, counters, decisions)
+        self.registry = registry = MachineRegistry(member, workers.lease_s, workers.cancel_s, lag_s)
+        self.machines = registry.machines
+        self._notifier = OwnerNotifier(member, registry, send, counters, decisions)
         self.reconciliation = ShardReconciliation(
-            loop, member, known, self._news, workers.lease_s, workers.cancel_s, lag_s, decisions
+            loop, member, registry, self._notifier, workers.lease_s, workers.cancel_s, lag_s, decisions
         )
-        self.rooms = Rooms(loop, label, self.machines, lapse_s, random, send, counters)
-        self.faults = Faults(loop, known, self.rooms, workers.report_s, self._drain, counters)
-        self.hearing = Hearing(
+        self.capacity_granter = CapacityGranter(loop, label, self.machines, lapse_s, random, send, counters)
+        self.failure_history = FailureHistory(
+            loop, registry, self.capacity_granter, workers.report_s, self._drain, counters
+        )
+        self.report_processor = ReportProcessor(
             loop,
             member,
-            known,
-            self._news,
+            registry,
+            self._notifier,
             self.reconciliation,
-            self.rooms,
-            self.faults,
+            self.capacity_granter,
+            self.failure_history,
             self._drain,
             need_spec,
             decisions,
         )
-        self.commanding = Commanding(
-            loop, known, self._news, self.reconciliation, self.rooms, lapse_s, send, ask, counters, decisions
+        self.task_commands = TaskCommands(
+            loop,
+            registry,
+            self._notifier,
+            self.reconciliation,
+            self.capacity_granter,
+            lapse_s,
+            send,
+            ask,
+            counters,
+            decisions,
         )
 
     # Terms
@@ -80,7 +91,7 @@
         """
         term = self._member.term
         self.reconciliation.begin(term)
-        self.reconciliation.fence(term.held(self.label), short)
+        self.reconciliation.fence_shards(term.shards_of(self.label), short)
 
     def on_term(self, old, new):
         """Applies a new term: drops shards that moved away, and starts over with those that came or got a new
@@ -88,39 +99,39 @@
 
         Returns {label: [frames]} that hand the dropped machines over to their new leaders.
         """
-        old_tokens, new_tokens = old.held(self.label), new.held(self.label)
+        old_tokens, new_tokens = old.shards_of(self.label), new.shards_of(self.label)
         lost = old_tokens.keys() - new_tokens.keys()
-        renewed = [share for share, token in new_tokens.items() if old_tokens.get(share) != token]
+        renewed = [shard for shard, token in new_tokens.items() if old_tokens.get(shard) != token]
         moved, handovers = {}, {}  # new leader -> its machines, and the frames for it
-        self.reconciliation.on_relief(old, new)
+        self.reconciliation.on_relieved_changed(old, new)
         if lost or renewed:
             for machine in list(self.machines.values()):
-                share, (leader, token) = new.share(machine.id), new.place(machine.id)
+                shard, (leader, token) = new.shard_of(machine.id), new.leader_and_token(machine.id)
                 if leader != self.label:
                     moved.setdefault(leader, []).append(machine)
-                elif (share, token) != (machine.share, machine.token):
-                    machine.share, machine.token, machine.confirmed = share, token, 0
-                    self.rooms.revoke(machine)
+                elif (shard, token) != (machine.shard, machine.token):
+                    machine.shard, machine.token, machine.confirmed_token = shard, token, 0
+                    self.capacity_granter.revoke(machine)
                     if machine.heard_at is not None:
                         self._ask(machine)
-            handovers = {label: handover(machines, self.known) for label, machines in moved.items()}
+            handovers = {label: handover(machines, self.registry) for label, machines in moved.items()}
             for machine in chain.from_iterable(moved.values()):
-                self.rooms.revoke(machine)
+                self.capacity_granter.revoke(machine)
                 self._remove_machine(machine)
-            self.reconciliation.let_go(lost)
-            self.reconciliation.fence(renewed, False)
+            self.reconciliation.drop_shards(lost)
+            self.reconciliation.fence_shards(renewed, False)
         if old.members.keys() - new.members.keys() or new.relieved - old.relieved:
-            self.reconciliation.lengthen()
-        for label in list(self.rooms.demand):
+            self.reconciliation.extend_fences()
+        for label in list(self.capacity_granter.demand):
             if old.incarnation(label) != new.incarnation(label):
-                self.rooms.peer_down(label)
+                self.capacity_granter.forget_controller(label)
         self.reconciliation.on_term(new)
         return handovers
 
-    def deaf(self):
+    def most_workers_silent(self):
         """Whether most machines heard here are silent: all died at once, or this controller is cut off."""
         limit = self._loop.now() - SILENT_REPORTS * self._workers.report_s
-        if self.awake_at > limit:
+        if self.running_since > limit:
             return False
         heard = silent = 0
         for machine in self.machines.values():
@@ -135,62 +146,64 @@
         The frame is only a hint: each machine is asked under this leader's token, and nothing counts as known
         of it before it answers.
         """
-        known = self.known
+        registry = self.registry
         for name, address, kind_name, zone, spot, draining, images in frame.rows:
             term = self._member.term
             if (
-                term.home(name) != self.label
+                term.leader_of(name) != self.label
                 or name in self.machines
-                or name in known.gone
-                or not self._member.takes_on(term.share(name))
+                or name in registry.gone
+                or not self._member.may_take_on(term.shard_of(name))
             ):
                 continue
-            machine = known.take_on(name, address, kind_name, zone, spot, self._loop.now())
+            machine = registry.register(name, address, kind_name, zone, spot, self._loop.now())
             machine.draining = draining
             machine.up = True
             machine.images = dict.fromkeys(images, 0.0)
-            self.reconciliation.unheard(machine)
+            self.reconciliation.mark_unheard(machine)
             self._ask(machine)
 
     def on_handover_jobs(self, frame):
         """Records owners and requirements of jobs with tasks on machines that are about to be handed over."""
-        known = self.known
+        registry = self.registry
         for job, label, incarnation, cpus, gpus, memory, image, image_gb, save_s, saves in frame.rows:
             if self._member.term.serves(label, incarnation):
-                known.owners.setdefault(job, (label, incarnation))
-            known.specs.setdefault(job, Needs((cpus, gpus, memory), image, image_gb, save_s, saves))
+                registry.owners.setdefault(job, (label, incarnation))
+            registry.specs.setdefault(
+                job, TaskRequirements((cpus, gpus, memory), image, image_gb, save_s, saves)
+            )
 
     # Machines
 
-    def covered(self, listed, asked_at):
+    def apply_machine_list(self, listed, asked_at):
         """Takes in a list of machines of this controller's shards, requested at `asked_at`.
 
         Returns the ids of machines that the cloud lists as failed.
         """
         now = self._loop.now()
-        known, reconciliation = self.known, self.reconciliation
+        registry, reconciliation = self.registry, self.reconciliation
         shown_at = reconciliation.shown_at(asked_at)
         failed, skipped_shards = [], set()
         for item in listed:
-            if item.id in known.gone:
+            if item.id in registry.gone:
                 continue
             machine = self.machines.get(item.id)
             if item.status == "failed":
                 if machine is not None:
                     self.machine_gone(machine, "failed")
                 else:
-                    self.unknown_gone(item.id)
+                    self.unregistered_machine_gone(item.id)
                 failed.append(item.id)
                 continue
-            share = self._member.term.share(item.id)
-            taken_on = self._member.takes_on(share)
+            shard = self._member.term.shard_of(item.id)
+            taken_on = self._member.may_take_on(shard)
             if machine is None:
                 if not taken_on:
                     # It is not heard, so what runs there stays unknown, and the list covers less.
-                    skipped_shards.add(share)
+                    skipped_shards.add(shard)
                     continue
-                machine = known.take_on(item.id, item.address, item.type, item.zone, item.spot, now)
-                reconciliation.unheard(machine)
+                machine = registry.register(item.id, item.address, item.type, item.zone, item.spot, now)
+                reconciliation.mark_unheard(machine)
             if machine.listed_at is None:
                 machine.born_at = shown_at - item.age_s * (1 + CLOCK_DRIFT)
             machine.listed_at = asked_at
@@ -199,10 +212,10 @@
             if item.status == "starting":
                 # The list shows it not up at that moment, so nobody can have commanded it before.
                 machine.born_at = max(machine.born_at, shown_at)
-            if machine.confirmed != machine.token and item.status == "running":
+            if machine.confirmed_token != machine.token and item.status == "running":
                 self._ask(machine)
-        reconciliation.cover(asked_at, skipped_shards)
-        reconciliation.settle()
+        reconciliation.apply_list(asked_at, skipped_shards)
+        reconciliation.answer_syncs()
         return failed
 
     def machine_gone(self, machine, cause):
@@ -216,21 +229,21 @@
             now - (machine.heard_at or now),
             "" if machine.notice_at is None else f", notice {now - machine.notice_at:+.1f} s",
         )
-        self.known.gone[machine.id] = now
-        self.rooms.revoke(machine)
+        self.registry.gone[machine.id] = now
+        self.capacity_granter.revoke(machine)
         for task in list(machine.tasks.values()):
-            self._news.freed(machine, task, cause)
+            self._notifier.attempt_gone(machine, task, cause)
         self._remove_machine(machine)
         self.reconciliation.free_claims(machine.id, cause)
 
     def _remove_machine(self, machine):
         """Stops tracking a machine that is gone or has another leader."""
-        self.known.let_go(machine)
-        self.faults.let_go(machine)
+        self.registry.remove(machine)
+        self.failure_history.forget_machine(machine)
 
-    def unknown_gone(self, name):
+    def unregistered_machine_gone(self, name):
         """Records that a machine never heard here certainly no longer runs."""
-        self.known.gone[name] = self._loop.now()
+        self.registry.gone[name] = self._loop.now()
         self.reconciliation.free_claims(name, "gone")
 
     def _drain(self, machine):
@@ -239,56 +252,59 @@
         If the cloud has announced its end, tasks that can save are told to stop by then.
         """
         machine.draining = True
-        self.rooms.revoke(machine)
+        self.capacity_granter.revoke(machine)
         if machine.notice_at is not None:
             left_s = machine.notice_at - self._loop.now()
             for task in machine.tasks.values():
                 if (
                     task.status != EXITED
-                    and task.needs is not None
-                    and task.needs.saves
+                    and task.requirements is not None
+                    and task.requirements.saves
                     and task.stop_grace is None
                 ):
                     machine.stop(task, max(0.0, left_s))
             self._ask(machine)
 
-    def tick(self, sure_at):
+    def tick(self, term_confirmed_at):
         """Handles ended leases, expired grants and quarantined machines; returns machines to release.
 
         `term_confirmed_at`: as for `judge_leases`.
         """
         now = self._loop.now()
         lease_s = self._workers.lease_s
-        self.judge_leases(sure_at)
+        self.judge_leases(term_confirmed_at)
         release = []
         for machine in list(self.machines.values()):
-            if machine.holder is not None and now >= machine.grant_lapse_at:
+            if machine.grant_holder is not None and now >= machine.grant_lapse_at:
                 self._count("grants_lapsed")
-                self.rooms.revoke(machine)
-                self.rooms.offer(machine)
+                self.capacity_granter.revoke(machine)
+                self.capacity_granter.grant(machine)
             if machine.quarantined_until and now >= machine.quarantined_until and not machine.draining:
-                self.faults.evaluate(machine)
-            if machine.todo and any(
-                task.forget and task.loose_token == machine.token for task in machine.todo.values()
+                self.failure_history.evaluate(machine)
+            if machine.pending_commands and any(
+                task.forget and task.unacked_launch_token == machine.token
+                for task in machine.pending_commands.values()
             ):
                 # Once forgotten, the attempt could be started again by the unanswered launch. Under a
                 # higher token the worker refuses that launch.
-                self._member.request_new_token(machine.share)
-            is_confirmed = machine.confirmed == machine.token
+                self._member.request_new_token(machine.shard)
+            is_confirmed = machine.confirmed_token == machine.token
             heard_at = machine.heard_at if machine.heard_at is not None else now
-            silent_s = now - max(heard_at, self.awake_at)
+            silent_s = now - max(heard_at, self.running_since)
             is_past_notice = machine.notice_at is not None and now > machine.notice_at + 1
-            is_drained = machine.draining and machine.notice_at is None and is_confirmed and machine.empty()
+            is_drained = (
+                machine.draining and machine.notice_at is None and is_confirmed and machine.is_empty()
+            )
             if (
                 is_drained
                 or silent_s > 4 * lease_s
                 or (is_past_notice and silent_s > 2 * self._workers.report_s)
             ):
                 release.append(machine)
-        self.known.prune(now, self.reconciliation.awaited_jobs)
+        self.registry.prune(now, self.reconciliation.awaited_jobs)
         return release
 
-    def judge_leases(self, sure_at):
+    def judge_leases(self, term_confirmed_at):
         """Frees the tasks of machines whose lease has ended, and claims on machines never heard.
 
         `term_confirmed_at`: until then, by the term in force, no other controller led these machines. So a
@@ -302,36 +318,36 @@
             if not machine.tasks and not reconciliation.claimed(machine.id):
                 continue
             end = machine.lease.ends_at(self._workers.lease_s)
-            if machine.confirmed != machine.token:
-                end = max(end, reconciliation.fence_at(machine.share))
+            if machine.confirmed_token != machine.token:
+                end = max(end, reconciliation.fence_ends_at(machine.shard))
             if now <= end:
                 continue
-            if sure_at <= end:
+            if term_confirmed_at <= end:
                 undecided = True
                 continue
-            self._note_lease_ended(machine, sure_at)
+            self._note_lease_ended(machine, term_confirmed_at)
             self._count("leases_out")
-            self.rooms.revoke(machine)
+            self.capacity_granter.revoke(machine)
             for task in list(machine.tasks.values()):
-                self._news.freed(machine, task, "lease ended")
+                self._notifier.attempt_gone(machine, task, "lease ended")
             reconciliation.free_claims(machine.id, "lease ended")
-            machine.confirmed = 0
-            reconciliation.unheard(machine)
-        self.undecided = reconciliation.expire_claims(sure_at) or undecided
-        reconciliation.settle()
+            machine.confirmed_token = 0
+            reconciliation.mark_unheard(machine)
+        self.has_undecided_leases = reconciliation.expire_claims(term_confirmed_at) or undecided
+        reconciliation.answer_syncs()
 
-    def _note_lease_ended(self, machine, sure_at):
+    def _note_lease_ended(self, machine, term_confirmed_at):
         """Records the evidence for an ended lease; `term_confirmed_at`: as for `judge_leases`."""
         now, answered = self._loop.now(), machine.lease.answered
         self._decisions.note(
             Decision.LEASE_ENDED,
-            about(machine),
+            decision_subject(machine),
             answered=f"{answered.session}.{answered.sequence}",
             answered_before_s=now - machine.lease.renewed_at,
             newest=f"{machine.session}.{machine.sequence}",
             heard_before_s=now - (machine.heard_at or now),
-            in_force_before_s=now - sure_at,
-            heard_under_token=machine.confirmed == machine.token,
+            in_force_before_s=now - term_confirmed_at,
+            heard_under_token=machine.confirmed_token == machine.token,
             tasks=len(machine.tasks),
         )
 
@@ -341,20 +357,20 @@
         return [
             machine
             for machine in self.machines.values()
-            if machine.confirmed == machine.token
-            and machine.holder is None
-            and machine.empty()
+            if machine.confirmed_token == machine.token
+            and machine.grant_holder is None
+            and machine.is_empty()
             and now - max(machine.idle_since, machine.confirmed_at) > idle_s(machine)
         ]
 
-    def plenty(self):
+    def has_spare_capacity(self):
         """Whether the machines in use have much free capacity that nobody wants."""
         used = spare = 0.0
         for machine in self.machines.values():
             if machine.active and machine.kind is not None:
-                free = machine.room()[0]
+                free = machine.free_capacity()[0]
                 used += machine.kind.cpus - free
-                if machine.holder is None and self.rooms.offerable(machine):
+                if machine.grant_holder is None and self.capacity_granter.can_grant(machine):
                     spare += free
         return spare > SPARE_RATIO * used
 
@@ -362,38 +378,38 @@
         """{shard: number of its machines}."""
         counts = {}
         for machine in self.machines.values():
-            counts[machine.share] = counts.get(machine.share, 0) + 1
+            counts[machine.shard] = counts.get(machine.shard, 0) + 1
         return counts
 
     def usage(self):
         """CPUs of the machines heard: (all, of running tasks, of other tasks, free, free and granted)."""
         total = running = other = parked = granted = 0.0
         for machine in self.machines.values():
-            if machine.kind is None or not machine.confirmed:
+            if machine.kind is None or not machine.confirmed_token:
                 continue
             total += machine.kind.cpus
-            free = machine.room()[0]
-            if machine.holder is None:
+            free = machine.free_capacity()[0]
+            if machine.grant_holder is None:
                 parked += free
             else:
                 granted += free
             for task in machine.tasks.values():
-                if task.needs is not None and task.status != EXITED:
+                if task.requirements is not None and task.status != EXITED:
                     if task.status == "running":
-                        running += task.needs.room[0]
+                        running += task.requirements.resources[0]
                     else:
-                        other += task.needs.room[0]
+                        other += task.requirements.resources[0]
         return total, running, other, parked, granted
 
-    def news(self):
+    def machine_counts(self):
         """MachineCounts rows for the fleet planner: machines by type, zone and spot, with free capacity."""
         rows = {}
         for machine in self.machines.values():
             row = rows.setdefault((machine.type, machine.zone, machine.spot), [0, 0, 0.0, 0.0, 0.0])
             row[0] += 1
-            if self.rooms.offerable(machine):
-                if not machine.busy():
+            if self.capacity_granter.can_grant(machine):
+                if not machine.is_busy():
                     row[1] += 1
-                for place, free in enumerate(machine.room()):
+                for place, free in enumerate(machine.free_capacity()):
                     row[2 + place] += max(0.0, free)
         return [(*key, *row) for key, row in rows.items()]
--- a/roadhead/homes/shard_reconciliation.py
+++ b/roadhead/machines/shard_reconciliation.py
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 
 from roadhead.decision_log import Decision
-from roadhead.homes.relief import Relief
-from roadhead.homes.worker_lease import CLOCK_DRIFT
+from roadhead.machines.relieved_controllers import RelievedControllers
+from roadhead.machines.worker_lease import CLOCK_DRIFT
 from roadhead.wire import frames
 
 log = logging.getLogger("roadhead.home")
@@ -28,7 +28,7 @@
     jobs: list
 
 
-class Fence:
+class ShardFence:
     """What limits the knowledge of one shard since this controller leads it under its token.
 
     Times are in seconds of the loop. `since`: machines of the shard that came up later were heard by no other
@@ -57,11 +57,11 @@
     `lease_s` and `cancel_s` of the workers and `lag_s` of the machine list are in seconds.
     """
 
-    def __init__(self, loop, member, known, news, lease_s, cancel_s, lag_s, decisions):
+    def __init__(self, loop, member, registry, notifier, lease_s, cancel_s, lag_s, decisions):
         self._loop = loop
         self._member = member
-        self._known = known
-        self._news = news
+        self._registry = registry
+        self._notifier = notifier
         self._lease_s = lease_s
         self._cancel_s = cancel_s
         self._lag_s = lag_s
@@ -70,24 +70,24 @@
         self._syncs = []  # PendingSync, in order of arrival
         self._fences = {}  # shard led here -> ShardFence
         self._unverified = {}  # shards that may not be reconciled -> True; an ordered set
-        self._relief = Relief(member.label)
+        self._relief = RelievedControllers(member.label)
 
     def begin(self, term):
         """Starts an incarnation with its first term."""
         self._relief.begin(term)
 
-    def may_not_know(self):
+    def unaware_controllers(self):
         """Labels of relieved controllers that may not know of it yet."""
         return self._relief.labels()
 
-    def on_relief(self, old, new):
+    def on_relieved_changed(self, old, new):
         """Applies a new term's relieved controllers; must be called before `fence` for that term."""
         self._relief.on_term(old, new)
         self._end_wait_for_relieved()
 
-    def hear_term(self, label, number):
+    def on_peer_term(self, label, number):
         """Takes note that another controller's current incarnation serves the term of that number."""
-        self._relief.hear_term(label, number)
+        self._relief.on_peer_term(label, number)
         self._end_wait_for_relieved()
 
     def _end_wait_for_relieved(self):
@@ -98,13 +98,13 @@
         if self._relief:
             return
         now = self._loop.now()
-        for share, fence in self._fences.items():
+        for shard, fence in self._fences.items():
             if fence.since == math.inf and now < fence.at:
                 fence.since, fence.covered = now, False
                 fence.cover_from = now + 2 * self._lag_s * (1 + CLOCK_DRIFT)
-                self._unverified[share] = True
+                self._unverified[shard] = True
 
-    def fence(self, shares, short):
+    def fence_shards(self, shards, short):
         """Fences shards that came here or got a new token, as what is known of them may be outdated.
 
         `short`: nobody else led them since this controller's previous incarnation. While a relieved
@@ -116,22 +116,22 @@
         # before cancel_s - lease_s is up (guide, safety 4). Then its last leases have to run out.
         at = now + self._fence_length_s(short)
         cover_from = now + 2 * self._lag_s * (1 + CLOCK_DRIFT)
-        machines = {share: [] for share in shares}
-        for machine in self._known.machines.values():
-            if machine.share in machines:
-                machines[machine.share].append(machine.id)
-        for share, names in machines.items():
+        machines = {shard: [] for shard in shards}
+        for machine in self._registry.machines.values():
+            if machine.shard in machines:
+                machines[machine.shard].append(machine.id)
+        for shard, names in machines.items():
             since = math.inf if self._relief else now
-            self._fences[share] = Fence(since, at, short, cover_from, names)
-            self._unverified[share] = True
-            self._note_shard_held(share, names, short, at - now)
+            self._fences[shard] = ShardFence(since, at, short, cover_from, names)
+            self._unverified[shard] = True
+            self._note_shard_held(shard, names, short, at - now)
 
-    def _note_shard_held(self, share, names, short, fence_s):
+    def _note_shard_held(self, shard, names, short, fence_s):
         """Records the evidence for the new leadership of a shard."""
         member = self._member
         self._decisions.note(
             Decision.SHARD_HELD,
-            {"shard": share, "token": member.term.held(member.label).get(share)},
+            {"shard": shard, "token": member.term.shards_of(member.label).get(shard)},
             term=member.term.number,
             revision=member.revision,
             in_force_before_s=self._loop.now() - member.term_at,
@@ -146,42 +146,42 @@
         bound = self._lease_s if short else self._cancel_s
         return (bound + MAX_RESPONSE_S) * (1 + 2 * CLOCK_DRIFT) + 0.5
 
-    def lengthen(self):
+    def extend_fences(self):
         """Extends short fences that have not ended, since a member was dropped or relieved.
 
         That member may live on, and may have given one of these shards away right before without knowing
         that the transaction succeeded.
         """
         now = self._loop.now()
-        for share, fence in self._fences.items():
+        for shard, fence in self._fences.items():
             if fence.short and now < fence.at:
                 fence.at, fence.short = now + self._fence_length_s(False), False
-                self._decisions.note(Decision.FENCE_LENGTHENED, {"shard": share}, fence_s=fence.at - now)
+                self._decisions.note(Decision.FENCE_LENGTHENED, {"shard": shard}, fence_s=fence.at - now)
 
-    def let_go(self, shares):
+    def drop_shards(self, shards):
         """Forgets shards that have another leader."""
-        for share in shares:
-            self._fences.pop(share, None)
-            self._unverified.pop(share, None)
-            self._decisions.note(Decision.SHARD_LOST, {"shard": share}, term=self._member.term.number)
+        for shard in shards:
+            self._fences.pop(shard, None)
+            self._unverified.pop(shard, None)
+            self._decisions.note(Decision.SHARD_LOST, {"shard": shard}, term=self._member.term.number)
 
-    def fence_at(self, share):
+    def fence_ends_at(self, shard):
         """When every lease that another leader renewed in the shard has ended."""
-        return self._fences[share].at
+        return self._fences[shard].at
 
-    def unheard(self, machine):
+    def mark_unheard(self, machine):
         """Waits for a machine that is new here, or whose lease has ended."""
-        fence = self._fences[machine.share]
+        fence = self._fences[machine.shard]
         fence.unheard[machine.id] = fence.awaited[machine.id] = True
-        self._unverified[machine.share] = True
+        self._unverified[machine.shard] = True
 
-    def heard(self, machine):
+    def mark_heard(self, machine):
         """Stops waiting for a machine that was heard under its token."""
-        fence = self._fences[machine.share]
+        fence = self._fences[machine.shard]
         fence.unheard.pop(machine.id, None)
         fence.awaited.pop(machine.id, None)
 
-    def cover_at(self):
+    def next_list_at(self):
         """The next time from which a machine list would cover a shard not covered yet; None if not ahead."""
         now = self._loop.now()
         return min(
@@ -197,40 +197,40 @@
         """The earliest moment that a machine list may show: up to twice its lag before the request."""
         return asked_at - 2 * self._lag_s * (1 + CLOCK_DRIFT)
 
-    def cover(self, asked_at, skipped_shards):
+    def apply_list(self, asked_at, skipped_shards):
         """Counts a list requested at `asked_at` as complete, except for the shards in `skipped_shards`."""
         covered = [
-            share
-            for share, fence in self._fences.items()
-            if not fence.covered and asked_at >= fence.cover_from and share not in skipped_shards
+            shard
+            for shard, fence in self._fences.items()
+            if not fence.covered and asked_at >= fence.cover_from and shard not in skipped_shards
         ]
-        for share in covered:
-            self._fences[share].covered = True
+        for shard in covered:
+            self._fences[shard].covered = True
         if covered:
             log.info(
                 "machine list covers %d more shards; %d machines known",
                 len(covered),
-                len(self._known.machines),
+                len(self._registry.machines),
             )
 
-    def clean(self):
+    def is_reconciled(self):
         """Whether every machine of this leader was heard under its token or is gone (safety 3)."""
         while self._unverified:
-            share = next(iter(self._unverified))
-            if not self._is_shard_reconciled(self._fences[share]):
+            shard = next(iter(self._unverified))
+            if not self._is_shard_reconciled(self._fences[shard]):
                 return False
-            del self._unverified[share]
+            del self._unverified[shard]
         return True
 
-    def settled(self):
+    def is_idle(self):
         """Whether all shards are reconciled and no owner waits for an answer."""
-        return not self._syncs and self.clean()
+        return not self._syncs and self.is_reconciled()
 
     def _is_shard_reconciled(self, fence):
         """Whether all tasks of a fence's shard are known."""
         if not fence.covered:
             return False
-        machines = self._known.machines
+        machines = self._registry.machines
         if self._loop.now() >= fence.at:
             return not any(name in machines and machines[name].tasks for name in fence.unheard)
         if fence.since == math.inf:
@@ -270,7 +270,7 @@
     def free_claims(self, name, cause):
         """Tells the owners of all claims on a machine that the attempts are free."""
         for key, owner in self.take_claims(name):
-            self._news.tell(owner, frames.Free(name, *key, cause))
+            self._notifier.notify(owner, frames.AttemptGone(name, *key, cause))
 
     def _unknown_claimed_machines(self):
         """(name, ShardFence) of claimed machines that are not known here."""
@@ -278,10 +278,11 @@
         return [
             (name, fence)
             for name in self._claims
-            if name not in self._known.machines and (fence := self._fences.get(term.share(name))) is not None
+            if name not in self._registry.machines
+            and (fence := self._fences.get(term.shard_of(name))) is not None
         ]
 
-    def vanished(self, listed, asked_at):
+    def missing_machines(self, listed, asked_at):
         """Names of claimed machines that were never heard here and that a late enough list does not show.
 
         They ran before this leader served the term, so a list that shows a later moment would name them if
@@ -293,7 +294,7 @@
             if asked_at >= fence.cover_from and name not in listed
         ]
 
-    def expire_claims(self, sure_at):
+    def expire_claims(self, term_confirmed_at):
         """Frees claims on unknown machines whose fence ended before `term_confirmed_at`.
 
         Nobody but this leader can have renewed their leases since. Returns whether other such fences have
@@ -302,33 +303,33 @@
         now = self._loop.now()
         undecided = False
         for name, fence in self._unknown_claimed_machines():
-            if sure_at > fence.at:
+            if term_confirmed_at > fence.at:
                 self.free_claims(name, "lease ended")
-            undecided = undecided or now > fence.at >= sure_at
+            undecided = undecided or now > fence.at >= term_confirmed_at
         return undecided
 
     # Syncs
 
     def on_term(self, new):
         """Drops claims on machines that moved away, and syncs of owners that the new term does not name."""
-        self._claims = {n: c for n, c in self._claims.items() if new.home(n) == self._member.label}
+        self._claims = {n: c for n, c in self._claims.items() if new.leader_of(n) == self._member.label}
         self._syncs = [s for s in self._syncs if new.serves(s.label, s.incarnation)]
 
     def sync(self, label, incarnation, frame):
         """Accepts an owner's request to be told once all is known here."""
         self._syncs.append(PendingSync(label, incarnation, frame.term, frame.number, frame.jobs))
-        self.settle()
+        self.answer_syncs()
 
-    def settle(self):
+    def answer_syncs(self):
         """Answers the pending syncs if all tasks here are known."""
-        if not self._syncs or not self.clean():
+        if not self._syncs or not self.is_reconciled():
             return
         syncs, self._syncs = self._syncs, []
         unheard = sum(len(fence.unheard) for fence in self._fences.values())
         for sync in syncs:
             owner = (sync.label, sync.incarnation)
-            self._news.standing(owner, sync.jobs)
-            self._news.tell(owner, frames.Synced(sync.term, sync.number))
+            self._notifier.send_existing(owner, sync.jobs)
+            self._notifier.notify(owner, frames.ReconcileDone(sync.term, sync.number))
             self._decisions.note(
                 Decision.ALL_TOLD,
                 {"owner": sync.label},
--- a/roadhead/homes/spec_lookup.py
+++ b/roadhead/machines/spec_lookup.py
@@ -2,10 +2,10 @@
 
 import logging
 
-from roadhead.homes.machine import Needs
 from roadhead.jobs.job import FINAL, spec_of
 from roadhead.jobs.records import find
-from roadhead.state.client import Unavailable, Unsure
+from roadhead.machines.machine import TaskRequirements
+from roadhead.state.client import UnavailableError, UnknownOutcomeError
 
 log = logging.getLogger("roadhead.homes")
 
@@ -38,7 +38,7 @@
         while leader is self._leader:
             try:
                 record, _stamp = await find(self._state, job_id)
-            except (Unavailable, Unsure):
+            except (UnavailableError, UnknownOutcomeError):
                 await self._loop.sleep(self._retry_s)
                 continue
             self._tell(leader, job_id, record)
@@ -50,15 +50,15 @@
         if record is None:
             log.error("found a task of job %s, which has no record", job_id)
         if record is None or record["s"] in FINAL:
-            leader.commanding.spec(job_id, None, over=True)
+            leader.task_commands.set_job_requirements(job_id, None, over=True)
             return
         spec = spec_of(record)
-        leader.known.owners.setdefault(job_id, tuple(record["o"]))
-        needs = Needs(
+        leader.registry.owners.setdefault(job_id, tuple(record["o"]))
+        requirements = TaskRequirements(
             (spec.cpus, spec.gpus, spec.memory),
             spec.image or "",
             spec.image_gb,
             spec.save_s,
             spec.checkpoint_s > 0,
         )
-        leader.commanding.spec(job_id, needs, over=False)
+        leader.task_commands.set_job_requirements(job_id, requirements, over=False)
--- a/roadhead/homes/commanding.py
+++ b/roadhead/machines/task_commands.py
@@ -1,23 +1,35 @@
 """Handles what job owners ask of a shard leader's machines, and tracks commands on their way to workers."""
 
 from roadhead.decision_log import Decision
-from roadhead.homes.machine import EXITED, LAUNCHING, Needs, Task, about, fits
+from roadhead.machines.machine import EXITED, LAUNCHING, Task, TaskRequirements, decision_subject, fits
 from roadhead.wire import frames
 
 
-class Commanding:
+class TaskCommands:
     """Carries out the owners' frames: starts, stops, forgotten attempts, syncs and cancellations.
 
     `ask(machine)` requests a direct command request to a machine's worker; `lapse_s` is the time after which
     an unused grant expires.
     """
 
-    def __init__(self, loop, known, news, reconciliation, rooms, lapse_s, send, ask, counters, decisions):
+    def __init__(
+        self,
+        loop,
+        registry,
+        notifier,
+        reconciliation,
+        capacity_granter,
+        lapse_s,
+        send,
+        ask,
+        counters,
+        decisions,
+    ):
         self._loop = loop
-        self._known = known
-        self._news = news
+        self._registry = registry
+        self._notifier = notifier
         self._reconciliation = reconciliation
-        self._rooms = rooms
+        self._capacity_granter = capacity_granter
         self._lapse_s = lapse_s
         self._send = send
         self._ask = ask
@@ -26,54 +38,56 @@
 
     def on_start(self, label, incarnation, frame):
         """Starts tasks of one job on one granted machine; `frame.last` also returns the rest of the grant."""
-        known = self._known
-        machine = known.machines.get(frame.machine)
-        self._rooms.heard(label, frame.length)
-        needs = known.specs.get(frame.job)
-        if needs is None:
-            needs = known.specs[frame.job] = Needs(
+        registry = self._registry
+        machine = registry.machines.get(frame.machine)
+        self._capacity_granter.set_idle_length(label, frame.length)
+        requirements = registry.specs.get(frame.job)
+        if requirements is None:
+            requirements = registry.specs[frame.job] = TaskRequirements(
                 (frame.cpus, frame.gpus, frame.memory),
                 frame.image,
                 frame.image_gb,
                 frame.save_s,
                 frame.saves,
             )
-        known.owners[frame.job] = (label, incarnation)
+        registry.owners[frame.job] = (label, incarnation)
         launched = False
         for index, attempt in frame.tasks:
-            launched = self._start(label, incarnation, frame, machine, needs, index, attempt) or launched
+            launched = (
+                self._start(label, incarnation, frame, machine, requirements, index, attempt) or launched
+            )
         if launched:
             machine.grant_lapse_at = self._loop.now() + self._lapse_s
             self._ask(machine)
         if frame.last:
-            self._rooms.returned(label, machine, frame.serial)
+            self._capacity_granter.release_grant(label, machine, frame.serial)
 
-    def _start(self, label, incarnation, frame, machine, needs, index, attempt):
+    def _start(self, label, incarnation, frame, machine, requirements, index, attempt):
         key = (frame.job, index, attempt)
         if machine is not None and key in machine.tasks:
             return False
         if (
             machine is None
-            or machine.holder != label
+            or machine.grant_holder != label
             or machine.grant_serial != frame.serial
-            or not self._rooms.offerable(machine)
-            or not fits(needs.room, machine.room())
-            or frame.job in self._known.cancelled
+            or not self._capacity_granter.can_grant(machine)
+            or not fits(requirements.resources, machine.free_capacity())
+            or frame.job in self._registry.cancelled
             or (frame.job, index) in machine.attempts
         ):
             self._count("starts_refused")
-            self._send(label, frames.Refused(frame.machine, *key))
+            self._send(label, frames.StartRefused(frame.machine, *key))
             return False
         task = Task(*key, LAUNCHING, (label, incarnation))
-        task.needs = needs
-        machine.put(task)
+        task.requirements = requirements
+        machine.add_task(task)
         machine.grant_taken += 1
         self._count("starts")
         return True
 
     def _find_task(self, name, *key):
         """(machine, task), either of them None if it is not known here."""
-        machine = self._known.machines.get(name)
+        machine = self._registry.machines.get(name)
         if machine is None:
             return None, None
         return machine, machine.tasks.get(key)
@@ -97,26 +111,26 @@
 
         The cost grows with what the frame names, not with the number of machines.
         """
-        known, news = self._known, self._news
+        registry, notifier = self._registry, self._notifier
         owner = (label, incarnation)
         jobs = set(frame.jobs)
         for job in jobs:
-            known.owners[job] = owner
-        for machine, tasks in known.on_machines(jobs).items():
+            registry.owners[job] = owner
+        for machine, tasks in registry.tasks_by_machine(jobs).items():
             for task in tasks:
                 task.owner = owner
-            news.states(machine, tasks, True)
+            notifier.send_states(machine, tasks, True)
         for name, job, index, attempt in frame.claims:
             key = (job, index, attempt)
-            machine = known.machines.get(name)
-            if name in known.gone:
-                self._send(label, frames.Free(name, *key, "gone"))
+            machine = registry.machines.get(name)
+            if name in registry.gone:
+                self._send(label, frames.AttemptGone(name, *key, "gone"))
             elif machine is not None and key in machine.tasks:
                 if job not in jobs:
                     machine.tasks[key].owner = owner
-                    news.states(machine, [machine.tasks[key]], True)
-            elif machine is not None and machine.confirmed == machine.token:
-                self._send(label, frames.Free(name, *key, "not there"))
+                    notifier.send_states(machine, [machine.tasks[key]], True)
+            elif machine is not None and machine.confirmed_token == machine.token:
+                self._send(label, frames.AttemptGone(name, *key, "not there"))
             else:
                 self._reconciliation.claim(name, key, owner)
         self._reconciliation.sync(label, incarnation, frame)
@@ -124,31 +138,31 @@
     def cancel(self, jobs):
         """Stops and forgets all attempts of jobs that are done or cancelled."""
         now = self._loop.now()
-        cancelled = self._known.cancelled
+        cancelled = self._registry.cancelled
         ended = [job for job in dict.fromkeys(jobs) if job not in cancelled]
         for job in ended:
             cancelled[job] = now
-        for machine, tasks in self._known.on_machines(ended).items():
+        for machine, tasks in self._registry.tasks_by_machine(ended).items():
             for task in tasks:
                 machine.stop(task, 0.0)
                 if task.status == EXITED:
                     machine.forget(task)
             self._ask(machine)
 
-    def spec(self, job, spec, *, over):
+    def set_job_requirements(self, job, spec, *, over):
         """Records the requirements of a job read from its record; `over`: the job is done or cancelled."""
         if spec is not None:
-            self._known.specs[job] = spec
+            self._registry.specs[job] = spec
         if over:
             self.cancel([job])
         if spec is None:
             return
-        for machine, tasks in self._known.on_machines([job]).items():
+        for machine, tasks in self._registry.tasks_by_machine([job]).items():
             for task in tasks:
-                if task.needs is None:
-                    machine.learn(task, spec)
-            self._news.states(machine, tasks, True)
-            self._rooms.changed(machine)
+                if task.requirements is None:
+                    machine.set_requirements(task, spec)
+            self._notifier.send_states(machine, tasks, True)
+            self._capacity_granter.on_capacity_changed(machine)
 
     # Launches sent to workers directly
 
@@ -161,15 +175,17 @@
         """
         for task in launches:
             self._decisions.note(
-                Decision.LAUNCH_SENT, about(machine, task), path="repeat" if task.loose_token else "direct"
+                Decision.LAUNCH_SENT,
+                decision_subject(machine, task),
+                path="repeat" if task.unacked_launch_token else "direct",
             )
-        first_sent = [task for task in launches if not task.loose_token]
+        first_sent = [task for task in launches if not task.unacked_launch_token]
         for task in first_sent:
-            task.loose_token = machine.token
+            task.unacked_launch_token = machine.token
         return first_sent
 
     @staticmethod
     def end_direct_send(first_sent):
         """Clears the mark of launches that were answered or were never sent."""
         for task in first_sent:
-            task.loose_token = 0
+            task.unacked_launch_token = 0
--- a/roadhead/homes/workers.py
+++ b/roadhead/machines/worker_client.py
@@ -3,18 +3,18 @@
 import logging
 
 from roadhead.decision_log import Decision
-from roadhead.homes.machine import about
+from roadhead.machines.machine import decision_subject
 from roadhead.wire import messages
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 log = logging.getLogger("roadhead.workers")
 
 
-class Workers:
+class WorkerClient:
     """Sends machines their commands directly, without waiting for their next report.
 
-    At most `sockets.orders_most` requests are under way at once, at most half of them to machines that have
-    been silent for `silent_s` or longer. So machines that answer don't wait for those that don't.
+    At most `sockets.max_command_requests` requests are under way at once, at most half of them to machines
+    that have been silent for `silent_s` or longer. So machines that answer don't wait for those that don't.
     `may_command()` tells whether this controller may command workers now.
     """
 
@@ -24,7 +24,7 @@
         self._member = member
         self._timeout_s = timeout_s
         self._may_command = may_command
-        self.home = None
+        self.shard_leader = None
         self._silent_s = silent_s
         self._sockets = sockets
         self._decisions = decisions
@@ -44,7 +44,7 @@
         self._next()
 
     def _next(self):
-        limit = self._sockets.orders_most
+        limit = self._sockets.max_command_requests
         for silent, queue in enumerate(self._queues):
             while queue and sum(self._asking) < limit and (not silent or 2 * self._asking[1] < limit):
                 machine = next(iter(queue))
@@ -53,7 +53,7 @@
                 self._loop.spawn(self._ask(machine, silent), f"ask {machine.id}")
 
     async def _ask(self, machine, silent):
-        leader = self.home
+        leader = self.shard_leader
         try:
             while True:
                 machine.request_again = False
@@ -67,7 +67,7 @@
                 if report is None:
                     return
                 if leader.machines.get(machine.id) is machine and self._member.joined:
-                    leader.hearing.observe(machine, report)
+                    leader.report_processor.observe(machine, report)
                 if not machine.request_again:
                     return
         finally:
@@ -81,7 +81,7 @@
         if client is None or client.address != machine.address:
             client = Client(self._loop, self._net, machine.address, max_idle=1, max_body=1 << 20)
         self._clients[machine.id] = client
-        if len(self._clients) > max(self._sockets.orders_kept, sum(self._asking)):
+        if len(self._clients) > max(self._sockets.max_idle_command_connections, sum(self._asking)):
             self.forget([next(iter(self._clients))])
         return client
 
@@ -92,38 +92,40 @@
         # that tells the right one.
         for _ in range(2):
             orders, launches = machine.orders()
-            if machine.confirmed != machine.token:
+            if machine.confirmed_token != machine.token:
                 orders, launches = [], []
             elif not orders:
                 return None
             session = machine.session or 1
             body = messages.commands(machine.token, session, orders)
-            first_sent = self.home.commanding.begin_direct_send(machine, launches)
+            first_sent = self.shard_leader.task_commands.begin_direct_send(machine, launches)
             try:
                 status, data, _headers = await client.request("POST", "/commands", body, self._timeout_s)
-            except NoAnswer as error:
+            except NoResponseError as error:
                 log.debug("commands to %s: %s", machine.id, error)
                 if not error.sent:
-                    self.home.commanding.end_direct_send(first_sent)
+                    self.shard_leader.task_commands.end_direct_send(first_sent)
                 return None
-            self.home.commanding.end_direct_send(first_sent)
+            self.shard_leader.task_commands.end_direct_send(first_sent)
             if orders and not (self._member.joined and self._may_command()):
                 # The request named the session: if it arrived late, that session's lease bounds what it did.
                 self._decisions.count("authority_lost")
-                self._decisions.note(Decision.AUTHORITY_LOST, about(machine), status=status, session=session)
+                self._decisions.note(
+                    Decision.AUTHORITY_LOST, decision_subject(machine), status=status, session=session
+                )
             if status not in (200, 409):
                 return None
             try:
-                report = messages.read(data, messages.Report)
+                report = messages.decode_as(data, messages.Report)
                 report.check()
-            except messages.Invalid as error:
+            except messages.InvalidMessageError as error:
                 log.error("machine %s answered a command with an invalid report: %s", machine.id, error)
                 return None
             if status == 200 or report.session == session:
                 return report
-            if self.home.machines.get(machine.id) is not machine:
+            if self.shard_leader.machines.get(machine.id) is not machine:
                 return None  # its shard has another leader meanwhile, which hears and commands it
-            self.home.hearing.observe(machine, report)
+            self.shard_leader.report_processor.observe(machine, report)
         return None
 
     async def reached(self, addresses):
@@ -134,7 +136,7 @@
             try:
                 await client.request("GET", "/inspect", b"", self._timeout_s)
                 count += 1
-            except NoAnswer:
+            except NoResponseError:
                 pass
         return count
 
@@ -153,4 +155,4 @@
 
     def trim(self):
         """Closes connections to machines that this controller no longer leads."""
-        self.forget([name for name in self._clients if name not in self.home.machines])
+        self.forget([name for name in self._clients if name not in self.shard_leader.machines])
--- a/roadhead/membership/authority.py
+++ b/roadhead/membership/authority.py
@@ -5,7 +5,11 @@
 docs/design.md).
 """
 
-from roadhead.membership.touch import KEPT, SILENT_BEATS, Touch
+from roadhead.membership.cancellation_freshness import (
+    CANCELLATION_KEPT_FACTOR,
+    SILENT_HEARTBEATS,
+    CancellationFreshness,
+)
 
 OUT_OF_TOUCH_RATIO = 0.8  # of the time that `cancel_s` leaves beside a worker's lease
 
@@ -17,33 +21,35 @@
     seconds; `heartbeat_s`: seconds between two heartbeats of a link.
     """
 
-    def __init__(self, loop, member, peers, others, workers, beat_s):
+    def __init__(self, loop, member, peers, others, workers, heartbeat_s):
         self._loop = loop
         self._member = member
         self._peers = peers
         self._others = others
-        self._beat_s = beat_s
-        self._touch = Touch(blind_for_s(workers), KEPT * workers.cancel_s)
+        self._heartbeat_s = heartbeat_s
+        self._touch = CancellationFreshness(
+            max_staleness_s(workers), CANCELLATION_KEPT_FACTOR * workers.cancel_s
+        )
 
-    def may_renew(self):
+    def can_renew_leases(self):
         """Whether workers' leases may be renewed and workers commanded.
 
         A controller that can learn of cancellations neither from the state service nor from every other
         controller must release its machines in time (safety 4).
         """
-        self._touch.look(self._member.watched_at, self.heard_at())
-        return self._touch.fresh(self._loop.now())
+        self._touch.refresh(self._member.watched_at, self.all_peers_heard_at())
+        return self._touch.is_within_staleness_bound(self._loop.now())
 
-    def sure_at(self):
+    def term_confirmed_at(self):
         """Until when no other controller can have renewed the leases of machines led here.
 
         The term known here was in force until then, by the state service or by all controllers that could
         have changed it.
         """
-        heard_at = self.heard_at()
+        heard_at = self.all_peers_heard_at()
         return self._member.term_at if heard_at is None else max(self._member.term_at, heard_at)
 
-    def heard_at(self):
+    def all_peers_heard_at(self):
         """A time after which each other controller sent a heartbeat that was heard; None if one is not heard.
 
         That means all configured controllers, not only the members of the term known here: a controller that
@@ -58,9 +64,9 @@
             if link is None:
                 return None
             heard_at = min(heard_at, link.last_heartbeat_at)
-        return heard_at - SILENT_BEATS * self._beat_s
+        return heard_at - SILENT_HEARTBEATS * self._heartbeat_s
 
 
-def blind_for_s(workers):
+def max_staleness_s(workers):
     """Seconds that a controller out of touch may go on; its workers' leases then end within `cancel_s`."""
     return OUT_OF_TOUCH_RATIO * (workers.cancel_s - workers.lease_s)
--- a/roadhead/membership/touch.py
+++ b/roadhead/membership/cancellation_freshness.py
@@ -6,13 +6,14 @@
 it. No sockets and no clocks here: times, in seconds of the loop, come in as arguments.
 """
 
-KEPT = 8  # times `cancel_s` for which a cancellation is passed on: none of the job's tasks can run by then
-SILENT_BEATS = (
+# times `cancel_s` for which a cancellation is passed on: none of the job's tasks can run by then
+CANCELLATION_KEPT_FACTOR = 8
+SILENT_HEARTBEATS = (
     3.5  # heartbeat intervals after which a silent link is closed, so no heartbeat is delayed longer
 )
 
 
-class Cancellations:
+class KnownCancellations:
     """Ids of jobs known to be cancelled, for `keep_s` seconds each.
 
     New ones cost a write to the state service each, so its rate limits bound them. Node bounds the old ones
@@ -26,7 +27,7 @@
     def __len__(self):
         return len(self._since)
 
-    def learn(self, jobs, now):
+    def add_new(self, jobs, now):
         """Adds jobs, and returns those that were not known."""
         fresh = [job for job in dict.fromkeys(jobs) if job not in self._since]
         self._since.update(dict.fromkeys(fresh, now))
@@ -36,7 +37,7 @@
         """All ids, oldest first."""
         return list(self._since)
 
-    def knows(self, job):
+    def contains(self, job):
         """Whether the job is known to be cancelled."""
         return job in self._since
 
@@ -46,7 +47,7 @@
             del self._since[next(iter(self._since))]
 
 
-class Touch:
+class CancellationFreshness:
     """Until when all cancellations that users were told of are known here.
 
     `blind_s`: how old that knowledge may be before workers must be released; `keep_s`: for how long the other
@@ -59,7 +60,7 @@
         self._max_gap_s = keep_s / 2
         self.known_at = -1e9
 
-    def look(self, watched_at, heard_at):
+    def refresh(self, watched_at, heard_at):
         """Updates the knowledge; must be called at least once per heartbeat.
 
         `watched_at`: when the newest answered watch was sent. `heard_at`: a time after which every other
@@ -71,6 +72,6 @@
         if heard_at is not None and heard_at - self.known_at < self._max_gap_s:
             self.known_at = max(self.known_at, heard_at)
 
-    def fresh(self, now):
+    def is_within_staleness_bound(self, now):
         """Whether the knowledge is recent enough to renew leases and command workers."""
         return now - self.known_at < self._blind_s
--- a/roadhead/membership/gate.py
+++ b/roadhead/membership/format_gate.py
@@ -7,17 +7,17 @@
 """
 
 GATE = "c/format"
-BEFORE = 3  # in force without a record: the format of the version before the gate
+FIRST_FORMAT = 3  # in force without a record: the format of the version before the gate
 
 
-def following(record, labels, present, knows, now):
+def next_record(record, labels, present, knows, now):
     """The record to be written next, or None if nothing changes.
 
     `record`: {"format": in force, "seen": {label: [format, since]}} or None; `labels`: the configured
     members; `present`: {label: format} of the controllers alive now; `knows`: the format of this process;
     `now`: the time of day in seconds.
     """
-    format_in_force, seen = (record["format"], record["seen"]) if record is not None else (BEFORE, {})
+    format_in_force, seen = (record["format"], record["seen"]) if record is not None else (FIRST_FORMAT, {})
     if format_in_force >= knows:
         return None
     known_formats = {label: entry for label, entry in seen.items() if label in labels}
@@ -33,7 +33,7 @@
     return None if record == new_record or (record is None and not known_formats) else new_record
 
 
-class Gate:
+class FormatGate:
     """What this process knows of the gate. `knows`: the newest format that it can read and write."""
 
     def __init__(self, knows, labels):
@@ -48,35 +48,35 @@
             self.record, self.stamp = record, stamp
 
     @property
-    def force(self):
+    def in_force(self):
         """The format in force."""
-        return self.record["format"] if self.record is not None else BEFORE
+        return self.record["format"] if self.record is not None else FIRST_FORMAT
 
     @property
-    def open(self):
+    def is_open(self):
         """Whether records of this version's newest format may be written."""
-        return self.force == self.knows
+        return self.in_force == self.knows
 
     @property
-    def outdated(self):
+    def is_outdated(self):
         """Whether the format in force is newer than this process knows, which must not touch records then."""
-        return self.force > self.knows
+        return self.in_force > self.knows
 
-    def unseen(self):
+    def members_not_updated(self):
         """Configured members not yet seen with the format of this process."""
         seen = self.record["seen"] if self.record is not None else {}
         return [label for label in self._labels if seen.get(label, (0, 0))[0] < self.knows]
 
-    def following(self, present, now):
+    def next_record(self, present, now):
         """The record to be written next by this process, or None (see the function)."""
-        return following(self.record, self._labels, present, self.knows, now)
+        return next_record(self.record, self._labels, present, self.knows, now)
 
-    def told(self, now):
+    def describe(self, now):
         """The gate for operators: the format in force, and with which format each member was last seen."""
         seen = self.record["seen"] if self.record is not None else {}
         return {
-            "format": self.force,
-            "open": self.open,
+            "format": self.in_force,
+            "open": self.is_open,
             "knows": self.knows,
             "members": [
                 {"label": label, "format": entry[0], "sinceS": round(now - entry[1], 1)}
--- a/roadhead/membership/member.py
+++ b/roadhead/membership/member.py
@@ -3,10 +3,16 @@
 import logging
 import secrets
 
-from roadhead.membership.gate import GATE
+from roadhead.membership.format_gate import GATE
 from roadhead.membership.term import Term
 from roadhead.runtime.loop import Signal
-from roadhead.state.client import Conflict, LeaseGone, TooOld, Unavailable, Unsure
+from roadhead.state.client import (
+    CompactedError,
+    ConflictError,
+    LeaseExpiredError,
+    UnavailableError,
+    UnknownOutcomeError,
+)
 
 log = logging.getLogger("roadhead.member")
 
@@ -36,8 +42,8 @@
         on_term,
         on_lost,
         on_cancel,
-        gate,
-        slots=1,
+        format_gate,
+        partitions=1,
         on_tenant=None,
         time_of_day=None,
     ):
@@ -49,9 +55,9 @@
         self._on_term = on_term
         self._on_lost = on_lost
         self._on_cancel = on_cancel
-        self.gate = gate
+        self.format_gate = format_gate
         self._time_of_day = time_of_day
-        self._partitions = slots  # least number of quota partitions in a term that this process joins
+        self._partitions = partitions  # least number of quota partitions in a term that this process joins
         self._on_tenant = on_tenant  # None where no tenants are served
         self.term = None
         self.revision = 0
@@ -77,18 +83,18 @@
         """Whether this process is a member."""
         return self.incarnation != 0
 
-    def lapsed(self):
+    def lease_may_have_expired(self):
         """Whether the lease may have ended, so that others may go on without this member."""
         return self._loop.now() - self.renewed_at > self._lease_s * (1 - CLOCK_DRIFT)
 
-    def takes_on(self, share):
+    def may_take_on(self, shard):
         """Whether machines of a shard that the term gives to this member may be heard for the first time.
 
         They may not while another controller may lead the shard by now, as after an ended lease, or a move
         whose outcome is unknown. A new leader does not wait for machines that came up since it leads (safety
         3).
         """
-        return not (self.lapsed() or self._leaving or share in self._shards_offered)
+        return not (self.lease_may_have_expired() or self._leaving or shard in self._shards_offered)
 
     def adopt(self, record, revision):
         """Takes over a term record if it is newer than the one known."""
@@ -111,7 +117,7 @@
             try:
                 if not await self._join():
                     continue
-            except (Unavailable, Unsure, Conflict, LeaseGone) as error:
+            except (UnavailableError, UnknownOutcomeError, ConflictError, LeaseExpiredError) as error:
                 log.debug("joining: %r", error)
                 await self._loop.sleep(self._lease_s / 20)
                 continue
@@ -133,13 +139,13 @@
         self.replaced = False
         while True:
             await self._read_all()
-            if self.gate.outdated:
+            if self.format_gate.is_outdated:
                 if not self._logged_outdated:
                     self._logged_outdated = True
                     log.error(
                         "can't join: the records have format %d, this version knows %d",
-                        self.gate.force,
-                        self.gate.knows,
+                        self.format_gate.in_force,
+                        self.format_gate.knows,
                     )
                 await self._loop.sleep(self._lease_s)
                 return False
@@ -148,7 +154,7 @@
             if entry is not None and entry[2] == nonce:
                 break  # an earlier try succeeded although its answer was lost
             self.replaced = entry is not None and self.label not in term.relieved
-            new = term.spread(self._partitions).join(self.label, nonce)
+            new = term.with_partitions(self._partitions).join(self.label, nonce)
             try:
                 await self._state.multi(
                     [(TERM, self.revision)],
@@ -161,7 +167,7 @@
                         },
                     ],
                 )
-            except (Conflict, Unsure):
+            except (ConflictError, UnknownOutcomeError):
                 continue
         self.renewed_at = sent_at
         self.incarnation = entry[0]
@@ -174,15 +180,15 @@
 
     def _member_record(self, incarnation):
         """This member's record, which exists as long as its lease."""
-        return {"incarnation": incarnation, "format": self.gate.knows}
+        return {"incarnation": incarnation, "format": self.format_gate.knows}
 
     def _apply_gate(self, record, stamp):
         """Takes in the format gate's record; stops serving if this version is too old for it."""
-        old_format = self.gate.force
-        self.gate.take(record, stamp)
-        if self.gate.force != old_format:
-            log.info("format %d of records is in force", self.gate.force)
-        if self.gate.outdated and self.joined:
+        old_format = self.format_gate.in_force
+        self.format_gate.take(record, stamp)
+        if self.format_gate.in_force != old_format:
+            log.info("format %d of records is in force", self.format_gate.in_force)
+        if self.format_gate.is_outdated and self.joined:
             self._lose()
 
     def _lose(self):
@@ -191,17 +197,19 @@
         self._lost.set()
         self._on_lost()
 
-    def raise_gate(self):
+    def advance_format_gate(self):
         """Records which formats the live controllers know, and raises the format in force once all know it.
 
         Of the members that know the newest format, the one with the smallest label does this.
         """
         newest = [
-            label for label in sorted(self.term.members) if self._live_formats.get(label) == self.gate.knows
+            label
+            for label in sorted(self.term.members)
+            if self._live_formats.get(label) == self.format_gate.knows
         ]
         if not newest or newest[0] != self.label or self._gate_write_pending:
             return
-        record = self.gate.following(dict(self._live_formats), self._time_of_day())
+        record = self.format_gate.next_record(dict(self._live_formats), self._time_of_day())
         if record is not None:
             self._gate_write_pending = True
             self._loop.spawn(self._write_gate(record), "gate")
@@ -210,10 +218,10 @@
         # A controller that joins changes the term, so the condition on it excludes members not looked at.
         try:
             stamp = await self._state.multi(
-                [(GATE, self.gate.stamp), (TERM, self.revision)], [{"put": GATE, "data": record}]
+                [(GATE, self.format_gate.stamp), (TERM, self.revision)], [{"put": GATE, "data": record}]
             )
             self._apply_gate(record, stamp)
-        except (Unavailable, Unsure, Conflict) as error:
+        except (UnavailableError, UnknownOutcomeError, ConflictError) as error:
             log.debug("gate: %r", error)
         finally:
             self._gate_write_pending = False
@@ -245,7 +253,7 @@
         self.watched_at = max(self.watched_at, sent_at)
         self.term_at = max(self.term_at, sent_at)
 
-    async def confirm(self):
+    async def confirm_term(self):
         """Reads the term, and adopts it if it is newer. Raises UnavailableError or UnknownOutcomeError."""
         sent_at = self._loop.now()
         record, revision = await self._state.get(TERM)
@@ -258,13 +266,13 @@
         while True:
             sent_at = self._loop.now()
             try:
-                await self._state.touch(self._lease_id)
+                await self._state.renew_lease(self._lease_id)
                 self.renewed_at = sent_at
-            except LeaseGone:
+            except LeaseExpiredError:
                 # The lease has ended, but perhaps no other member has dropped this one yet. If so, it stays
                 # a member with a new lease, else the term that is read here shows that it was dropped.
                 await self._new_lease()
-            except (Unavailable, Unsure) as error:
+            except (UnavailableError, UnknownOutcomeError) as error:
                 log.debug("renewal: %r", error)
                 await self._loop.sleep(self._lease_s / 24)
                 continue
@@ -291,7 +299,7 @@
                 ],
             )
             self._lease_id, self.renewed_at = lease_id, sent_at
-        except (Unavailable, Unsure, Conflict, LeaseGone) as error:
+        except (UnavailableError, UnknownOutcomeError, ConflictError, LeaseExpiredError) as error:
             log.debug("new lease: %r", error)
             await self._loop.sleep(self._lease_s / 24)
 
@@ -301,13 +309,13 @@
             sent_at = self._loop.now()
             try:
                 events, revision = await self._state.changes(PREFIX, self._watch_revision, self._watch_s)
-            except TooOld:
+            except CompactedError:
                 try:
                     await self._read_all()
-                except (Unavailable, Unsure):
+                except (UnavailableError, UnknownOutcomeError):
                     await self._loop.sleep(self._lease_s / 24)
                 continue
-            except (Unavailable, Unsure) as error:
+            except (UnavailableError, UnknownOutcomeError) as error:
                 log.debug("watch: %r", error)
                 await self._loop.sleep(self._lease_s / 24)
                 continue
@@ -348,7 +356,7 @@
         now = self._loop.now()
         return max((self._cancel_marks.get(key, now) for key, _value, _stamp in items), default=None)
 
-    def stale_marks(self, age_s):
+    def stale_cancellation_marks(self, age_s):
         """Keys of cancellation marks older than `age_s`, which nobody needs any more.
 
         Their owners ended before they could delete them. Only the member with the smallest label gets any.
@@ -374,17 +382,17 @@
                 new = self.term.drop(absent)
                 try:
                     await self._write_term(new, ((MEMBER + label, 0) for label in absent))
-                except (Unavailable, Unsure, Conflict) as error:
+                except (UnavailableError, UnknownOutcomeError, ConflictError) as error:
                     log.debug("drop: %r", error)
                     await self._loop.sleep(self._lease_s / 12)
                     try:
                         await self._read_all()
-                    except (Unavailable, Unsure):
+                    except (UnavailableError, UnknownOutcomeError):
                         pass
 
-    def request_new_token(self, share):
+    def request_new_token(self, shard):
         """Requests a higher token for a shard, so that unanswered commands can't be executed any more."""
-        self._request_amendment("raise_share", share)
+        self._request_amendment("raise_share", shard)
 
     def relieve(self, label):
         """Requests other leaders for the shards of a live member that workers can't reach."""
@@ -410,16 +418,16 @@
         )
         self.adopt(record, revision)
 
-    async def give(self, slots):
+    async def hand_over_partitions(self, partitions):
         """Hands quota partitions over; returns True on success, False on failure, None if unknown."""
-        new = self.term.give(slots)
+        new = self.term.assign_partitions(partitions)
         try:
             await self._write_term(new)
-        except (Unavailable, Conflict):
+        except (UnavailableError, ConflictError):
             return False
-        except Unsure:
+        except UnknownOutcomeError:
             return None
-        log.info("handed over quota partitions: %s", slots)
+        log.info("handed over quota partitions: %s", partitions)
         return True
 
     async def move(self, moves):
@@ -434,7 +442,7 @@
         self._shards_offered.update(moves)
         try:
             await self._write_term(new)
-        except (Unavailable, Conflict, Unsure) as error:
+        except (UnavailableError, ConflictError, UnknownOutcomeError) as error:
             log.debug("moving shards: %r", error)
 
     async def leave(self):
@@ -444,17 +452,17 @@
         take over its jobs at once. Returns once it is out, or if there is no other member to give them to.
         """
         self._leaving = True
-        while self.joined and (others := self.term.homes - {self.label}):
-            if moves := self.term.shares.spread({self.label}, others):
+        while self.joined and (others := self.term.leaders - {self.label}):
+            if moves := self.term.shard_map.redistribute({self.label}, others):
                 await self.move(moves)
-                if self.term.held(self.label):
+                if self.term.shards_of(self.label):
                     await self._loop.sleep(self._lease_s / 24)
                     continue
             new = self.term.drop({self.label})
             log.info("leaving, by term %d", new.number)
             try:
                 await self._write_term(new, writes=[{"drop": MEMBER + self.label}])
-            except (Unavailable, Conflict, Unsure) as error:
+            except (UnavailableError, ConflictError, UnknownOutcomeError) as error:
                 log.debug("leaving: %r", error)
                 await self._loop.sleep(self._lease_s / 24)
 
@@ -471,7 +479,7 @@
             log.info("amending the term: %s", amendments)
             try:
                 await self._write_term(new)
-            except (Unavailable, Unsure, Conflict) as error:
+            except (UnavailableError, UnknownOutcomeError, ConflictError) as error:
                 log.debug("amendment: %r", error)
                 for amendment in amendments:  # may be requested again soon
                     self._not_before[amendment] = self._loop.now() + self._lease_s / 12
--- a/roadhead/membership/peers.py
+++ b/roadhead/membership/peers.py
@@ -6,10 +6,10 @@
 
 import logging
 
-from roadhead.membership.touch import SILENT_BEATS
+from roadhead.membership.cancellation_freshness import SILENT_HEARTBEATS
 from roadhead.runtime.loop import Cancelled, Timeout
 from roadhead.runtime.net import Closed
-from roadhead.wire.frames import BadFrame, Beat, Hello, Splitter
+from roadhead.wire.frames import FrameDecoder, FrameError, Heartbeat, Hello
 
 log = logging.getLogger("roadhead.peers")
 
@@ -21,7 +21,16 @@
     other side knew when it sent that was on the link before it.
     """
 
-    __slots__ = ("deaf", "heard_at", "incarnation", "last_heartbeat_at", "state_ok", "stream", "term", "used")
+    __slots__ = (
+        "heard_at",
+        "incarnation",
+        "last_heartbeat_at",
+        "state_ok",
+        "stream",
+        "term",
+        "used",
+        "workers_silent",
+    )
 
     def __init__(self, stream, incarnation, now):
         self.stream = stream
@@ -30,7 +39,7 @@
         self.last_heartbeat_at = -1e9
         self.term = 0  # number of the term that the other side serves
         self.state_ok = True
-        self.deaf = False
+        self.workers_silent = False
         self.used = None  # (requests, writes) per second to the state service, None before it was told
 
 
@@ -42,16 +51,16 @@
     `on_up(label)` for each new link, before its first heartbeat; `on_down(label)` when a member's link ends.
     """
 
-    def __init__(self, loop, net, settings, beat_s, me, speaks, beat, on_frame, on_up, on_down):
+    def __init__(self, loop, net, settings, heartbeat_s, me, speaks, heartbeat, on_frame, on_up, on_down):
         self._loop = loop
         self._net = net
         self.label = settings.label
         self._addresses = {member.label: member.endpoint for member in settings.members}
         self._listen_on = settings.internal_addr
-        self._beat_s = beat_s
+        self._heartbeat_s = heartbeat_s
         self._own_incarnation = me  # () -> this controller's incarnation, 0 while it is no member
         self._speaks = speaks
-        self._beat = beat  # () -> Heartbeat
+        self._heartbeat = heartbeat  # () -> Heartbeat
         self._on_frame = on_frame
         self._on_up = on_up
         self._on_down = on_down
@@ -85,17 +94,17 @@
         while True:
             if self._speaks():
                 try:
-                    stream = await self._net.connect(self._addresses[label], 2 * self._beat_s)
+                    stream = await self._net.connect(self._addresses[label], 2 * self._heartbeat_s)
                     await self._serve_link(stream, label)
                 except (Closed, Timeout):
                     pass
-            await self._loop.sleep(self._beat_s / 2)
+            await self._loop.sleep(self._heartbeat_s / 2)
 
     async def _serve_link(self, stream, expected):
         """Exchanges frames over one connection until it ends; `expected`: the label dialled, or None."""
-        splitter = Splitter()
+        splitter = FrameDecoder()
         link = label = None
-        timer = self._loop.call_later(4 * self._beat_s, stream.close)
+        timer = self._loop.call_later(4 * self._heartbeat_s, stream.close)
         try:
             if not self._speaks():
                 return
@@ -109,7 +118,7 @@
                 for frame in splitter.frames():
                     if link is None:
                         if type(frame) is not Hello or frame.label not in self._addresses:
-                            raise BadFrame("no hello")
+                            raise FrameError("no hello")
                         label = frame.label
                         if (expected or label) != label or mine != self._own_incarnation():
                             return
@@ -119,20 +128,20 @@
                         (self.links if link.incarnation else self.outside)[label] = link
                         # Before the first heartbeat, whose receiver relies on having been told all before it.
                         self._on_up(label)
-                        stream.write(self._beat().encode())
+                        stream.write(self._heartbeat().encode())
                         continue
                     link.heard_at = self._loop.now()
-                    if type(frame) is Beat:
+                    if type(frame) is Heartbeat:
                         if not self._loop.catching_up:
                             link.last_heartbeat_at = link.heard_at
                         link.term = frame.term
                         link.state_ok = frame.state_ok
-                        link.deaf = frame.deaf
+                        link.workers_silent = frame.workers_silent
                         link.used = (frame.requests, frame.writes)
                     self._on_frame(label, link.incarnation, frame)
                     if not self._is_current(label, link):
                         return
-        except BadFrame as error:
+        except FrameError as error:
             log.info("peer %s: %s", label or "unknown", error)
         except (Closed, Cancelled):
             pass
@@ -156,14 +165,14 @@
 
     async def _send_heartbeats(self):
         while True:
-            await self._loop.sleep(self._beat_s)
-            limit = self._loop.now() - SILENT_BEATS * self._beat_s
+            await self._loop.sleep(self._heartbeat_s)
+            limit = self._loop.now() - SILENT_HEARTBEATS * self._heartbeat_s
             for label, link in [*self.links.items(), *self.outside.items()]:
                 if link.heard_at < limit:
                     log.info("peer %s closed: it was silent for too long", label)
                     self._drop(label, link)
                 else:
-                    self._write(label, link, self._beat())
+                    self._write(label, link, self._heartbeat())
 
     def send(self, label, frame):
         """Sends a frame to a member; False if there is no link to it."""
@@ -178,7 +187,7 @@
             return False
         return True
 
-    def excuse(self):
+    def reset_silence(self):
         """Restarts the silence of all links after a stall, in which this process could hear nobody."""
         for link in (*self.links.values(), *self.outside.values()):
             link.heard_at = self._loop.now()
--- a/roadhead/shares/keeper.py
+++ b/roadhead/shards/balancer.py
@@ -2,14 +2,14 @@
 
 import logging
 
-from roadhead.shares.balance import step
+from roadhead.shards.balance import plan_moves
 
 log = logging.getLogger("roadhead.shares")
 
 MAX_CHANGES_KEPT = 20  # changes of the map kept for operators
 
 
-class Keeper:
+class ShardBalancer:
     """Balances the shards of this controller with those of the other leaders.
 
     `settle_s`: for so long a member that joined is given nothing; `links()`: {label: its Link}.
@@ -42,23 +42,25 @@
         if old is None:
             return
         moved = {}
-        for share, (giver, taker) in enumerate(zip(old.shares.homes, new.shares.homes, strict=True)):
+        for shard, (giver, taker) in enumerate(
+            zip(old.shard_map.leaders, new.shard_map.leaders, strict=True)
+        ):
             if giver != taker:
-                moved.setdefault((giver, taker), []).append(share)
-        for (giver, taker), shares in moved.items():
-            log.info("term %d: %d shards moved from %s to %s", new.number, len(shares), giver, taker)
-            self._count("shares_moved", len(shares))
-            planned = new.incarnation(giver) is not None and giver in new.homes
-            self.changes.append((now, new.number, len(shares), giver, taker, planned))
+                moved.setdefault((giver, taker), []).append(shard)
+        for (giver, taker), shards in moved.items():
+            log.info("term %d: %d shards moved from %s to %s", new.number, len(shards), giver, taker)
+            self._count("shares_moved", len(shards))
+            planned = new.incarnation(giver) is not None and giver in new.leaders
+            self.changes.append((now, new.number, len(shards), giver, taker, planned))
         del self.changes[:-MAX_CHANGES_KEPT]
 
     def tick(self, leader):
         """Gives shards away if there are too many here; called with each heartbeat."""
         member, term = self._member, self._member.term
-        if member.lapsed():
+        if member.lease_may_have_expired():
             return
-        if not self._move_pending and leader.reconciliation.settled():
-            moves = step(term.shares, self._label, self._takers(term), leader.machines_by_shard())
+        if not self._move_pending and leader.reconciliation.is_idle():
+            moves = plan_moves(term.shard_map, self._label, self._takers(term), leader.machines_by_shard())
             if moves:
                 self._move_pending = True
                 self._loop.spawn(self._move(moves), "move shares")
@@ -74,10 +76,10 @@
         now, links = self._loop.now(), self._links()
         return [
             label
-            for label in sorted(term.homes)
+            for label in sorted(term.leaders)
             if label != self._label
             and label in links
-            and not links[label].deaf
+            and not links[label].workers_silent
             and links[label].state_ok
             and now - self._first_seen[label][1] >= self._settle_s
         ]
--- a/roadhead/shares/hashing.py
+++ b/roadhead/shards/hashing.py
@@ -3,7 +3,7 @@
 from hashlib import blake2b
 
 
-def pick(labels, name):
+def rendezvous_choice(labels, name):
     """The label with the highest hash together with `name`, None without labels."""
     data = name.encode()
     return max(
--- a/roadhead/shares/map.py
+++ b/roadhead/shards/map.py
@@ -7,77 +7,79 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-from roadhead.shares.hashing import pick
+from roadhead.shards.hashing import rendezvous_choice
 
-SHARES = 64  # about twenty for each of three controllers, seven of nine: the granularity of the balance
+SHARD_COUNT = 64  # about twenty for each of three controllers, seven of nine: the granularity of the balance
 
 
-class Shares:
-    """An immutable map: `homes` has each shard's leader and `tokens` its token, by shard number."""
+class ShardMap:
+    """An immutable map: `leaders` has each shard's leader and `tokens` its token, by shard number."""
 
-    __slots__ = ("homes", "tokens")
+    __slots__ = ("leaders", "tokens")
 
-    def __init__(self, homes, tokens):
-        self.homes = tuple(homes)
+    def __init__(self, leaders, tokens):
+        self.leaders = tuple(leaders)
         self.tokens = tuple(tokens)
 
     @classmethod
-    def even(cls, labels, token, count=SHARES):
+    def even(cls, labels, token, count=SHARD_COUNT):
         """A map with all shards new under `token`, spread evenly over the labels."""
         labels = sorted(labels)
-        return cls([labels[share % len(labels)] for share in range(count)], [token] * count)
+        return cls([labels[shard % len(labels)] for shard in range(count)], [token] * count)
 
     @classmethod
     def from_record(cls, record):
         """The map of a stored record."""
-        labels, homes, tokens = record
-        return cls([labels[position] for position in homes], tokens)
+        labels, leaders, tokens = record
+        return cls([labels[position] for position in leaders], tokens)
 
     def to_record(self):
         """[labels, each shard's place in them, each shard's token]: eight bytes a shard at most."""
-        labels = sorted(set(self.homes))
+        labels = sorted(set(self.leaders))
         positions = {label: position for position, label in enumerate(labels)}
-        return [labels, [positions[leader] for leader in self.homes], list(self.tokens)]
+        return [labels, [positions[leader] for leader in self.leaders], list(self.tokens)]
 
-    def share(self, machine):
+    def shard_of(self, machine):
         """The number of the machine's shard."""
-        return machine_hash(machine) % len(self.homes)
+        return machine_hash(machine) % len(self.leaders)
 
     def of(self, label):
         """{shard: token} of a leader's shards."""
-        return {share: self.tokens[share] for share, leader in enumerate(self.homes) if leader == label}
+        return {shard: self.tokens[shard] for shard, leader in enumerate(self.leaders) if leader == label}
 
     def counts(self, labels):
         """{label: number of shards that it leads}."""
         counts = dict.fromkeys(labels, 0)
-        for leader in self.homes:
+        for leader in self.leaders:
             if leader in counts:
                 counts[leader] += 1
         return counts
 
-    def give(self, moves, token):
+    def reassign(self, moves, token):
         """The map in which each shard of `moves` ({shard: label}) has that leader and the new token.
 
         All other shards keep their token, so their machines notice nothing.
         """
-        homes, tokens = list(self.homes), list(self.tokens)
-        for share, label in moves.items():
-            homes[share], tokens[share] = label, token
-        return Shares(homes, tokens)
+        leaders, tokens = list(self.leaders), list(self.tokens)
+        for shard, label in moves.items():
+            leaders[shard], tokens[shard] = label, token
+        return ShardMap(leaders, tokens)
 
-    def spread(self, lost, homes):
-        """{shard: label} that gives the shards of `lost` leaders to those of `homes` with fewest shards.
+    def redistribute(self, lost, leaders):
+        """{shard: label} that gives the shards of `lost` leaders to those of `leaders` with fewest shards.
 
         Between several with fewest, rendezvous hashing of the shard decides.
         """
-        counts = self.counts(homes)
+        counts = self.counts(leaders)
         moves = {}
-        for share, leader in enumerate(self.homes):
+        for shard, leader in enumerate(self.leaders):
             if leader in lost:
                 fewest = min(counts.values())
-                label = pick([name for name in counts if counts[name] == fewest], f"share {share}")
+                label = rendezvous_choice(
+                    [name for name in counts if counts[name] == fewest], f"share {shard}"
+                )
                 counts[label] += 1
-                moves[share] = label
+                moves[shard] = label
         return moves
 
 
