--- a/roadhead/machines/report_processor.py
+++ b/roadhead/machines/report_processor.py
@@ -44,7 +44,7 @@
         self._notifier = notifier
         self._reconciliation = reconciliation
         self._capacity_granter = capacity_granter
-        self._faults = failure_history
+        self._failure_history = failure_history
         self._drain = drain
         self._need_spec = need_spec
         self._decisions = decisions
@@ -190,7 +190,7 @@
             ):
                 machine.note_image(task.requirements)
             if task.status == EXITED and old_status != EXITED:
-                self._faults.on_task_exited(machine, task)
+                self._failure_history.on_task_exited(machine, task)
             if task.job in self._registry.cancelled:
                 machine.stop(task, 0.0)
                 if task.status == EXITED:
--- a/roadhead/machines/shard_leader.py
+++ b/roadhead/machines/shard_leader.py
@@ -22,7 +22,7 @@
 log = logging.getLogger("roadhead.home")
 
 SILENT_REPORTS = 2.25  # report intervals without a report; a healthy worker's are at most 1.25 apart
-DEAF_MIN_MACHINES = 3  # with fewer machines heard, their silence says nothing about the network
+MIN_MACHINES_HEARD = 3  # with fewer machines heard, their silence says nothing about the network
 SPARE_RATIO = 0.25  # free CPUs beside those in use above which idle machines are released sooner
 
 
@@ -138,7 +138,7 @@
             if machine.heard_at is not None:
                 heard += 1
                 silent += machine.heard_at < limit
-        return heard >= DEAF_MIN_MACHINES and 2 * silent > heard
+        return heard >= MIN_MACHINES_HEARD and 2 * silent > heard
 
     def on_handover(self, frame):
         """Takes on machines that another leader handed over.
--- a/roadhead/machines/shard_reconciliation.py
+++ b/roadhead/machines/shard_reconciliation.py
@@ -70,24 +70,24 @@
         self._syncs = []  # PendingSync, in order of arrival
         self._fences = {}  # shard led here -> ShardFence
         self._unverified = {}  # shards that may not be reconciled -> True; an ordered set
-        self._relief = RelievedControllers(member.label)
+        self._relieved_controllers = RelievedControllers(member.label)
 
     def begin(self, term):
         """Starts an incarnation with its first term."""
-        self._relief.begin(term)
+        self._relieved_controllers.begin(term)
 
     def unaware_controllers(self):
         """Labels of relieved controllers that may not know of it yet."""
-        return self._relief.labels()
+        return self._relieved_controllers.labels()
 
     def on_relieved_changed(self, old, new):
         """Applies a new term's relieved controllers; must be called before `fence` for that term."""
-        self._relief.on_term(old, new)
+        self._relieved_controllers.on_term(old, new)
         self._end_wait_for_relieved()
 
     def on_peer_term(self, label, number):
         """Takes note that another controller's current incarnation serves the term of that number."""
-        self._relief.on_peer_term(label, number)
+        self._relieved_controllers.on_peer_term(label, number)
         self._end_wait_for_relieved()
 
     def _end_wait_for_relieved(self):
@@ -95,7 +95,7 @@
 
         What one of them heard is up by now, so a list that shows a later moment names it.
         """
-        if self._relief:
+        if self._relieved_controllers:
             return
         now = self._loop.now()
         for shard, fence in self._fences.items():
@@ -121,7 +121,7 @@
             if machine.shard in machines:
                 machines[machine.shard].append(machine.id)
         for shard, names in machines.items():
-            since = math.inf if self._relief else now
+            since = math.inf if self._relieved_controllers else now
             self._fences[shard] = ShardFence(since, at, short, cover_from, names)
             self._unverified[shard] = True
             self._note_shard_held(shard, names, short, at - now)
@@ -137,7 +137,7 @@
             in_force_before_s=self._loop.now() - member.term_at,
             fence="short" if short else "long",
             fence_s=fence_s,
-            relieved_may_not_know=bool(self._relief),
+            relieved_may_not_know=bool(self._relieved_controllers),
             machines=len(names),
         )
 
--- a/roadhead/membership/authority.py
+++ b/roadhead/membership/authority.py
@@ -27,7 +27,7 @@
         self._peers = peers
         self._others = others
         self._heartbeat_s = heartbeat_s
-        self._touch = CancellationFreshness(
+        self._freshness = CancellationFreshness(
             max_staleness_s(workers), CANCELLATION_KEPT_FACTOR * workers.cancel_s
         )
 
@@ -37,8 +37,8 @@
         A controller that can learn of cancellations neither from the state service nor from every other
         controller must release its machines in time (safety 4).
         """
-        self._touch.refresh(self._member.watched_at, self.all_peers_heard_at())
-        return self._touch.is_within_staleness_bound(self._loop.now())
+        self._freshness.refresh(self._member.watched_at, self.all_peers_heard_at())
+        return self._freshness.is_within_staleness_bound(self._loop.now())
 
     def term_confirmed_at(self):
         """Until when no other controller can have renewed the leases of machines led here.
--- a/roadhead/membership/cancellation_freshness.py
+++ b/roadhead/membership/cancellation_freshness.py
@@ -55,7 +55,7 @@
     """
 
     def __init__(self, blind_s, keep_s):
-        self._blind_s = blind_s
+        self._max_staleness_s = blind_s
         # Half of it, as the others count it by their own clocks and from earlier moments.
         self._max_gap_s = keep_s / 2
         self.known_at = -1e9
@@ -74,4 +74,4 @@
 
     def is_within_staleness_bound(self, now):
         """Whether the knowledge is recent enough to renew leases and command workers."""
-        return now - self.known_at < self._blind_s
+        return now - self.known_at < self._max_staleness_s
--- a/roadhead/membership/term.py
+++ b/roadhead/membership/term.py
@@ -96,12 +96,12 @@
             label if label in entries and self.incarnation(label) == entries[label][0] else None
             for label in self.quota_leaders
         ]
-        for slot, label in enumerate(quota_leaders):
+        for partition, label in enumerate(quota_leaders):
             if label is None and entries:
                 fewest = min(quota_leaders.count(member) for member in entries)
-                quota_leaders[slot] = rendezvous_choice(
+                quota_leaders[partition] = rendezvous_choice(
                     [member for member in entries if quota_leaders.count(member) == fewest],
-                    f"warden {slot}" if slot else "warden",
+                    f"warden {partition}" if partition else "warden",
                 )
         return quota_leaders
 
@@ -114,7 +114,9 @@
 
     def assign_partitions(self, partitions):
         """The next term, in which each quota partition in `partitions` has the leader named there."""
-        quota_leaders = [partitions.get(slot, label) for slot, label in enumerate(self.quota_leaders)]
+        quota_leaders = [
+            partitions.get(partition, label) for partition, label in enumerate(self.quota_leaders)
+        ]
         return Term(self.number + 1, self.next, self.members, quota_leaders, self.relieved, self.shard_map)
 
     def quota_leader(self, group):
--- a/roadhead/recovery/failover.py
+++ b/roadhead/recovery/failover.py
@@ -33,14 +33,14 @@
         self._changed = changed
         self._retry_s = retry_s
         self._cancel_s = cancel_s
-        self._job_store = self._shelf = None
+        self._job_store = self._archiver = None
         self._roster = None  # Term.roster() of the newest term
         self._logged_newer_format = False
         self._orphans = {}  # job accepted for a quota leader that is not told yet -> its team's group
 
     def begin(self, job_store, archiver):
         """Starts an incarnation, which owns nothing yet; jobs accepted for quota leaders are still told."""
-        self._job_store, self._shelf = job_store, archiver
+        self._job_store, self._archiver = job_store, archiver
 
     def on_term(self, old, new):
         """Scans for jobs to take over if the new term has other owners than the old one."""
@@ -87,7 +87,7 @@
                         )
                 elif record["s"] in FINAL:
                     self._job_store.remember_final(job_id, record)
-                    self._shelf.add_if_responsible(job_id, record, stamp)
+                    self._archiver.add_if_responsible(job_id, record, stamp)
                 elif not member.term.serves(*record["o"]) and self._heir(job_id, record) == member.label:
                     mine.append((record, stamp))
             try:
