--- a/roadhead/jobs/__init__.py
+++ b/roadhead/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: their durable records, who owns them, and what each of their tasks is doing."""
+"""Jobs: their durable records, their owners, and the state of each of their tasks."""
--- a/roadhead/jobs/book.py
+++ b/roadhead/jobs/book.py
@@ -1,7 +1,7 @@
-"""The jobs that this controller owns, and what becomes of each task.
+"""The jobs that this controller owns and the state of each of their tasks.
 
-No sockets here: frames from homes come in as calls, frames to them go out through
-`send(home, frame)`. `changed()` is called when something may be placed.
+This module opens no sockets. Frames from shard leaders arrive as method calls, and frames to shard leaders
+leave through `send(label, frame)`. `changed()` is called whenever a task may have become placeable.
 """
 
 import logging
@@ -21,12 +21,33 @@
 
 CANCEL = "c/x/"
 MAX_FINALS = 20000
-LARGEST_PART = 10  # of a class's jobs one in so many is among its largest
-LARGER_PART = 2.5  # and one in so many among the larger ones: more than a quarter, as others own the rest
-SIZES_MOST = 2000  # jobs of a class by which that is judged
+LARGEST_PART = 10  # one in LARGEST_PART jobs of a class counts among its largest
+# One in LARGER_PART counts among the larger: more than a quarter, since other controllers own the rest
+LARGER_PART = 2.5
+MAX_SIZES_PER_CLASS = 2000  # sizes kept per class, by which a job is compared
 
 
 class Book:
+    """Owns jobs from their creation or takeover until their final record is durable.
+
+    Args:
+        loop: the event loop.
+        member: this controller's membership; gives its label, incarnation and the current term.
+        recorder_of: builds the `Recorder` from the callbacks for written, conflicting and refused records,
+            and for newly classified creations.
+        send: `send(label, frame)` sends a frame to a controller, this one included.
+        changed: called when a task may have become placeable.
+        counters: the process's event counters.
+        time_of_day: returns seconds since the epoch.
+        lease_s: length of the workers' lease in seconds.
+        on_finished: `on_finished(job, time_of_day)` is called when a job owned here is durably done.
+        teams: the teams and their limits.
+        on_orphan: called with a job accepted here that its quota leader has to take over.
+        shelve: `shelve(job_id, final_record, stamp)` queues a final record for the move to the archive.
+        line_of: builds the dependency tracking (`pipelines/line.py`) for this object.
+        parts: stores dependency lists that are too long for one record (`pipelines/parts.py`).
+    """
+
     def __init__(
         self,
         loop,
@@ -55,52 +76,62 @@
         self.accounts = Accounts(teams)
         self.quota = QuotaPartitions(loop, member, teams, self.accounts)
         self._on_orphan = on_orphan
-        self._shelve = shelve  # (job id, final record, its stamp)
+        self._shelve = shelve
         self.jobs = {}  # open jobs owned here, by id
-        self.started_at = {}  # class -> when a task of it was last started
-        self.seen = {}  # class -> number of its jobs that were ever owned here
-        self._perhaps_started = {}  # inherited jobs that wait here, and may have been let go before; as a set
-        self._confirmed = []  # taken over in this turn: the homes are told once more
-        self.arrived = []  # those that joined since the queue was last looked at
-        self.served = {}  # ("class", "team" or "largest", its name) -> jobs done here
-        self._sizes = {}  # class -> CPUs of the jobs of it that were owned here, in order
-        self.version = 0  # changes when the queue is to be put in order anew
-        self.finals = {}  # id -> record of jobs known to be over
-        self._creating = {}  # id -> Future of (is new, record)
-        self._new = {}  # id -> Job whose record is being written
-        self._cancelled_early = set()  # those of them that another controller has read and cancelled
-        self._adopting = {}  # those of which no record names this owner yet, in order as a set
+        self.started_at = {}  # class -> when a task of it was last started, on the loop's clock
+        self.seen = {}  # class -> number of its jobs ever owned here
+        # Inherited jobs that wait for their dependencies here, whose previous owner may have started them; an
+        # ordered set.
+        self._perhaps_started = {}
+        # Taken over in this turn of the loop; the shard leaders are asked again for them.
+        self._newly_owned = []
+        self.arrived = []  # jobs added since the dispatcher last read the queue
+        self.served = {}  # ("class", "team" or "largest", its name) -> number of jobs done here
+        self._sizes = {}  # class -> sorted CPU totals of its jobs ever owned here
+        self.version = 0  # incremented when the queue has to be sorted again
+        self.finals = {}  # id -> final record of jobs known to be over
+        self._creations = {}  # id -> Future of (is new, record)
+        self._being_created = {}  # id -> Job whose first record is being written
+        # Ids in `_being_created` that another controller has read and cancelled
+        self._cancelled_early = set()
+        # Jobs being taken over whose record does not name this owner yet; an ordered set.
+        self._adopting = {}
         self._attempts = 0
-        self._unowned = []  # accepted while quota partitions were closing
-        self._ending = {}  # cancelled with a job that they need, to be written; by id
-        self._to_sync = []  # inherited and let go in this turn
+        self._without_owner = []  # accepted while quota partitions were closing
+        # Id -> Job cancelled with one of its dependencies, whose final record is not yet written
+        self._upstream_cancelled = {}
+        self._newly_released = []  # inherited jobs released in this turn of the loop
         context = OwnerContext(loop, member, send, changed, counters.add, time_of_day, lease_s)
-        self.reconciliation = Reconciliation(context, self.jobs, self._reconciled)
+        self.reconciliation = Reconciliation(context, self.jobs, self._on_reconciled)
         self.task_reports = TaskReports(context, self)
         self.line = line_of(self)
         self._parts = parts
-        self.recorder = recorder_of(self._written, self._conflict, self._refused, changed)
+        self.recorder = recorder_of(self._on_written, self._on_conflict, self._on_refused, changed)
 
     @property
-    def _me(self):
+    def _identity(self):
+        """(label, incarnation) of this controller, as job records name their owner."""
         return (self._member.label, self._member.incarnation)
 
     def attempt(self):
-        """A number that no attempt of any incarnation has had."""
+        """Returns an attempt number that no other attempt of any incarnation has."""
         self._attempts += 1
         return (self._member.incarnation << 24) + self._attempts
 
     # Admission
 
     def create(self, spec):
-        """A Future of (is new, record or None): durable once it completes."""
-        pending = self._creating.get(spec.id)
+        """Creates a job. Returns a Future of (is new, record or None), durable once it completes.
+
+        A repeated submission of a job that is still being created gets the same Future.
+        """
+        pending = self._creations.get(spec.id)
         if pending is None:
-            pending = self._creating[spec.id] = Future()
-            owner = self._me
+            pending = self._creations[spec.id] = Future()
+            owner = self._identity
             if not self.quota.owns(spec.team):
                 owner = NOBODY  # the quota leader takes it over
-            job = self._new[spec.id] = Job(spec, owner, self._time_of_day())
+            job = self._being_created[spec.id] = Job(spec, owner, self._time_of_day())
             if not job.waits or self.recorder.holds(job):
                 self.recorder.mark(job, URGENT)
             else:
@@ -108,88 +139,98 @@
         return pending
 
     async def _write_parts(self, job):
-        """The list of jobs that it needs goes ahead of a record that is too small for it."""
+        """Writes the dependency list first, for a job whose record is too small to hold it."""
         written = await self._parts.write(job.id, job.spec.upstream, self._loop.now() + self._lease_s)
         if written is None:
-            self._refused(job)
+            self._on_refused(job)
             return
         job.parts, job.head_if = written
         self.recorder.mark(job, URGENT)
 
     def coming(self, on_word):
-        """Jobs whose tasks will surely wait here shortly: found to be new and about to be accepted,
-        or being taken over. A submission alone is no reason to rent: it may be a retry of a job
-        that is long over. Only while nobody can say which it is, up to `on_word` CPUs count on
-        their users' word."""
-        word = []
-        for job in self._new.values() if self.recorder.unsure else ():
+        """Returns the jobs whose tasks will soon wait here, for the rental of machines.
+
+        These are creations found to be new and jobs being taken over. A submission by itself is no reason to
+        rent machines: it may be a retry of a job that ended long ago. Only while nobody can tell which
+        creations are new, unconfirmed ones with up to `on_word` CPUs in total are counted as well.
+        """
+        unconfirmed = []
+        for job in self._being_created.values() if self.recorder.unsure else ():
             cpus = job.spec.cpus * len(job.free)
             if job not in self.recorder.fresh and cpus <= on_word and not job.waits:
                 on_word -= cpus
-                word.append(job)
+                unconfirmed.append(job)
         fresh = [job for job in self.recorder.fresh if not job.waits]
-        return [*fresh, *word, *{**self._adopting, **self.reconciliation.inherited}]
+        return [*fresh, *unconfirmed, *{**self._adopting, **self.reconciliation.inherited}]
 
-    def _settled(self, job):
-        """The outcome of its creation is known: the Future that waits for it, or None.
+    def _finish_creation(self, job):
+        """Ends a creation whose outcome is known. Returns the Future that waits for it, or None.
 
-        None as well for a job being taken over while a repeated submission of it is still creating it here.
+        Also returns None for a job that is being taken over while a repeated submission of it is still
+        creating it here.
         """
-        if self._new.get(job.id) is not job:
+        if self._being_created.get(job.id) is not job:
             return None
-        del self._new[job.id]
-        return self._creating.pop(job.id)
+        del self._being_created[job.id]
+        return self._creations.pop(job.id)
 
-    def _accepted(self, job):
-        """Its record stands, made here: (is new, record or None) for who waits for that.
+    def _accept(self, job):
+        """Completes a creation whose record was stored. Returns its result: (is new, record or None).
 
-        Others can read a record before the answer to its write comes. Once one of them has cancelled the job,
-        nothing of it begins here.
+        Other controllers can read a record before the answer to its write arrives here. If one of them has
+        cancelled the job by then, none of its tasks is started.
         """
         if job.id not in self._cancelled_early:
-            self._created(job)
+            self._on_created(job)
             return True, None
         self._cancelled_early.discard(job.id)
         record = self.finals.get(job.id) or job.final("cancelled")
         self.remember(job.id, record)
-        if job.owner == self._me:
-            self.recorder.drop(CANCEL + job.id)  # nobody else has started any of it
+        if job.owner == self._identity:
+            self.recorder.drop(CANCEL + job.id)  # no other owner can have started any of its tasks
         return False, record
 
-    def _written(self, job, recorded, state):
-        pending = self._settled(job)
+    def _on_written(self, job, recorded, state):
+        """Callback of the recorder: a job's record is stored.
+
+        `recorded` holds the tasks that the record says are done, `state` the job's state in it.
+        """
+        pending = self._finish_creation(job)
         if pending is not None:
-            pending.set(self._accepted(job))
+            pending.set(self._accept(job))
             return
         if self._adopting.pop(job, False):
-            self._taken(job)
+            self._on_taken_over(job)
             self._changed()
         if state in FINAL:
-            told = self._ending.pop(job.id, None) is not None
-            self._over(job, job.final(state), told)
+            told = self._upstream_cancelled.pop(job.id, None) is not None
+            self._on_ended(job, job.final(state), told)
             return
         over = [i for i, b in job.bound.items() if b.status == "exited" and i in recorded]
         self.forget(job.id, [(index, job.bound.pop(index)) for index in over])
 
-    def _created(self, job):
+    def _on_created(self, job):
+        """Starts to own a job just created, or hands it to its quota leader or to the dependency tracking."""
         if job.owner == NOBODY:
             if self.quota.closing:
-                self._unowned.append(job)
+                self._without_owner.append(job)
             self._on_orphan(job)
         elif not self.line.enter(job):
-            self._begin(job)
+            self._add_owned(job)
 
-    # Limits
+    # Quota partitions
 
     def idle_partitions(self):
-        """Quota partitions held here of which nothing is owned, being created or taken over, nor may run
-        cancelled."""
-        groups = {self.teams.group(job.spec.team) for job in (*self._new.values(), *self._adopting)}
+        """Returns the quota partitions held here that have no jobs and no cancelled tasks that may still run.
+
+        Jobs being created, taken over or waiting for their dependencies count as jobs of their partition.
+        """
+        groups = {self.teams.group(job.spec.team) for job in (*self._being_created.values(), *self._adopting)}
         groups |= {self.teams.group(team) for team in self.line.waits.by_team}
         return self.quota.idle({*groups, *self.accounts.groups()})
 
-    def _leave(self, job):
-        """The job is no longer among those owned here."""
+    def _remove_owned(self, job):
+        """Stops owning a job. Returns whether it was owned here."""
         self.reconciliation.inherited.pop(job, None)
         if self.jobs.pop(job.id, None) is not None:
             self.accounts.leave(job)
@@ -197,14 +238,15 @@
         return False
 
     def among_largest(self, job, part=LARGEST_PART):
-        """Whether the job is of the largest of its class, one in `part`, and larger than most of it."""
+        """Returns whether the job is in the largest 1/`part` of its class and larger than the median."""
         sizes = self._sizes[job.spec.klass]
         size = job.spec.tasks * job.spec.cpus
         return size >= sizes[-1 - int(len(sizes) / part)] and size > sizes[len(sizes) // 2]
 
-    def _begin(self, job):
+    def _add_owned(self, job):
+        """Starts to own a job: its tasks enter the queue and its team's account."""
         sizes = self._sizes.setdefault(job.spec.klass, [])
-        if len(sizes) < SIZES_MOST:
+        if len(sizes) < MAX_SIZES_PER_CLASS:
             insort(sizes, job.spec.tasks * job.spec.cpus)
         self.jobs[job.id] = job
         self.accounts.enter(job)
@@ -215,15 +257,19 @@
         self.seen[job.spec.klass] = self.seen.get(job.spec.klass, 0) + 1
         self._changed()
 
-    def _over(self, job, record, counted=False):
-        """The job's end is durable. `counted`: by whoever wrote it, for the summary, and told."""
+    def _on_ended(self, job, record, counted=False):
+        """Handles the durable end of a job.
+
+        `counted` is true if another controller wrote the end, and has already counted it for the summary and
+        announced it.
+        """
         self.remember(job.id, record)
         self._shelve(job.id, record, job.stamp)
         self.recorder.unmark(job)
         if not counted:
             self.line.told(job.id, record)
         if record["s"] == "done":
-            if self._leave(job) and not counted:
+            if self._remove_owned(job) and not counted:
                 self._on_finished(job, self._time_of_day())
                 keys = [("class", job.spec.klass), ("team", job.spec.team)]
                 if self.among_largest(job):
@@ -234,6 +280,7 @@
             job.bound.clear()
 
     def remember(self, job_id, record):
+        """Keeps the final record of a job that is known to be over; the oldest are forgotten first."""
         if len(self.finals) > MAX_FINALS:
             self.finals.pop(next(iter(self.finals)))
         known = job_id in self.finals
@@ -241,10 +288,13 @@
         if not known:
             self.line.over(job_id, record)
 
-    def _conflict(self, job, record, stamp):
-        """Somebody else wrote the record, or an unanswered write of ours went through."""
-        mine = record is not None and record["s"] == "open" and tuple(record["o"]) == self._me
-        pending = self._settled(job)
+    def _on_conflict(self, job, record, stamp):
+        """Callback of the recorder: the stored record is not the one expected.
+
+        Either another controller wrote it, or a write of ours without an answer took effect.
+        """
+        mine = record is not None and record["s"] == "open" and tuple(record["o"]) == self._identity
+        pending = self._finish_creation(job)
         if pending is not None:
             self.recorder.unmark(job)
             if (
@@ -253,159 +303,186 @@
                 and ((tuple(record["o"]), record["at"]) == (job.owner, job.accepted_at))
             ):
                 job.stamp = stamp
-                pending.set(self._accepted(job))
+                pending.set(self._accept(job))
             else:
                 self._cancelled_early.discard(job.id)
                 pending.set((False, record))
             return
         if not job.stamp:
-            return  # a creation whose outcome was found out meanwhile, by a check of creations that wait
+            return  # the creation's outcome was already found by a check of waiting creations
         if record is None:
-            log.error("record of %s is gone", job.id)
+            log.error("job %s: its record is missing in the state service", job.id)
             self.recorder.unmark(job)
             return
         if record["s"] in FINAL:
-            inherited = self._drop_adopting(job)
+            inherited = self._stop_takeover(job)
             self.recorder.unmark(job)
-            self._ending.pop(job.id, None)
+            self._upstream_cancelled.pop(job.id, None)
             if record["s"] == "done":
                 job.stamp = stamp
-                self._over(job, record, inherited)
+                self._on_ended(job, record, inherited)
             else:
                 if job.unsynced and job.id in self.jobs:
-                    self.accounts.unsure(job)  # what runs of it is still to be told
+                    self.accounts.unsure(job)  # the shard leaders have yet to report which of its tasks run
                 self.cancelled(job.id, record)
             return
         if mine:
             job.stamp = stamp
-            return  # still marked: written again under the new stamp
-        if (job in self._adopting or job.id in self._ending) and not self._member.term.serves(*record["o"]):
+            return  # still marked, so it is written again under the new stamp
+        if (job in self._adopting or job.id in self._upstream_cancelled) and not self._member.term.serves(
+            *record["o"]
+        ):
             job.stamp = stamp
             return
-        log.info("job %s belongs to %s now", job.id, record["o"])
-        if self._drop_adopting(job):
-            self._send(record["o"][0], frames.Orphan(job.id))  # the homes were asked for it from here
+        log.info("job %s has a new owner: %s", job.id, record["o"])
+        if self._stop_takeover(job):
+            # The shard leaders were asked for it from here and report to this controller.
+            self._send(record["o"][0], frames.Orphan(job.id))
         self.recorder.unmark(job)
-        self._ending.pop(job.id, None)
+        self._upstream_cancelled.pop(job.id, None)
         self.line.waits.remove(job)
-        self._leave(job)
+        self._remove_owned(job)
         self.version += 1
 
-    def _drop_adopting(self, job):
-        """It need not be taken over; whether it was being."""
+    def _stop_takeover(self, job):
+        """Stops the takeover of a job. Returns whether it was being taken over."""
         if not self._adopting.pop(job, False):
             return False
         job.adopting = False
         self.accounts.sure(job)
         return True
 
-    # Taking over
+    # Takeover
 
-    def _taken(self, job):
-        """The job is ours from now on, or over: no other owner takes it from here."""
+    def _on_taken_over(self, job):
+        """Ends the takeover of a job: its record names this owner, or it is over.
+
+        No other controller takes it over from the previous owner any more.
+        """
         job.adopting = job.foreign = False
-        if not self._confirmed:
-            self._loop.call_soon(self._sync_confirmed)
-        self._confirmed.append(job)
-
-    def _sync_confirmed(self):
-        """Their records name this owner now. Another may have asked the homes for them meanwhile, before it
-        found that out, and been told in our place since: they are to know whose they are."""
-        jobs, self._confirmed = self._confirmed, []
+        if not self._newly_owned:
+            self._loop.call_soon(self._sync_newly_owned)
+        self._newly_owned.append(job)
+
+    def _sync_newly_owned(self):
+        """Tells the shard leaders about the jobs whose records name this owner as of this turn of the loop.
+
+        Another controller may have asked the shard leaders for these jobs meanwhile, before it learned that
+        it is not their owner, and the shard leaders report to that controller since. Asking again points them
+        to this owner.
+        """
+        jobs, self._newly_owned = self._newly_owned, []
         self.reconciliation.ask_all([job for job in jobs if self.jobs.get(job.id) is job])
 
     def mine(self, job_id):
-        """Another controller asked the homes for a job that is ours: they are told again."""
+        """Tells the shard leaders again who owns a job, because another controller asked them for it."""
         job = self.jobs.get(job_id)
         if job is not None and not job.adopting:
             self.reconciliation.ask_all([job])
 
     def knows(self, job_id):
-        """Whether the job is in this controller's care, and its record open as far as that goes."""
-        return job_id in self.jobs or job_id in self.line.waits.jobs or job_id in self._ending
+        """Returns whether this controller is responsible for the job and knows of no final record."""
+        return job_id in self.jobs or job_id in self.line.waits.jobs or job_id in self._upstream_cancelled
 
     def adopt(self, items):
-        """Open records of dropped owners that fall to this controller.
+        """Takes over jobs from owners that the term no longer names.
 
-        Each takes a write that names the new owner, and nothing of it starts before; what the homes
-        know is asked for meanwhile, for all of them at once.
+        `items` are (open record, stamp). Each takeover needs a write that names the new owner, and none of
+        the job's tasks starts before it is durable. The shard leaders are asked for the tasks of all these
+        jobs at once meanwhile.
         """
         adopted = []
         for record, stamp in items:
-            job = from_record(record, self._me, stamp)
+            job = from_record(record, self._identity, stamp)
             if not self.knows(job.id) and self.quota.owns(job.spec.team):
                 job.foreign = True
                 if not self.line.enter(job):
                     adopted.append(job)
-                    self._take(job)
+                    self._take_over(job)
                 elif record["o"][0] and self.quota.limited(job.spec.team) and job.id in self.line.waits.jobs:
                     self._perhaps_started[job] = True
                     self.accounts.unsure(job)
         if adopted:
             self.reconciliation.ask_all(adopted)
 
-    def _take(self, job):
+    def _take_over(self, job):
+        """Starts the takeover of a job: it is owned here, but none of its tasks starts before the write."""
         job.adopting = self._adopting[job] = True
-        self._begin(job)
+        self._add_owned(job)
         self.recorder.mark(job, SOON)
 
-    def _reconciled(self, job):
-        """Every home has told all that it knows of an inherited job."""
+    def _on_reconciled(self, job):
+        """Every shard leader has reported all that it knows of an inherited job."""
         self.accounts.sure(job)
         if job.state == "cancelled":
-            self._end_cancelled(job)
+            self._release_cancelled(job)
         if job.gang and job.free and job.bound:
-            self._break_up(job)  # its owner ended while it started them
+            self._stop_gang(job)  # its owner ended while starting them
 
-    # Jobs that need others (pipelines/line.py)
+    # Dependencies (pipelines/line.py)
 
     def never_started(self, job):
-        """A job that waits was not let go by its owner of before: what it needs is not done, or cancelled."""
+        """Notes that the previous owner cannot have started a waiting job.
+
+        That is certain while one of its dependencies is not done, or if one was cancelled.
+        """
         if self._perhaps_started.pop(job, False):
             self.accounts.sure(job)
 
     def forget_waiting(self, job):
-        """A job taken over waits here no more, as the owners have changed: until all records are read anew
-        nobody knows what of its team's work may run."""
+        """Forgets an inherited job that waits for its dependencies, because the owners have changed.
+
+        Until all records are read again, nobody knows which tasks of its team may be running.
+        """
         if job in self._perhaps_started:
             self.never_started(job)
             self.quota.read_anew(job.spec.team)
 
     def released(self, job):
-        """All that the job needs is durably done. One whose owner ended before may have been let go by
-        that one already, so it is taken over like any other only now, with a write."""
+        """Starts a job whose dependencies are all durably done.
+
+        If its owner ended before, that owner may have started it already. Such a job is therefore taken over
+        only now, with a write, like any other inherited job.
+        """
         if not job.foreign:
-            self._begin(job)
+            self._add_owned(job)
             return
-        self._perhaps_started.pop(job, None)  # counts as taken over from now on
-        self._take(job)
-        if not self._to_sync:
+        self._perhaps_started.pop(job, None)  # it counts as being taken over from now on
+        self._take_over(job)
+        if not self._newly_released:
             self._loop.call_soon(self._sync_released)
-        self._to_sync.append(job)
+        self._newly_released.append(job)
 
     def _sync_released(self):
-        jobs, self._to_sync = self._to_sync, []
+        """Asks the shard leaders for tasks of the inherited jobs released in this turn of the loop."""
+        jobs, self._newly_released = self._newly_released, []
         self.reconciliation.ask_all([job for job in jobs if self.jobs.get(job.id) is job])
 
     def end(self, job):
-        """A job that waits is cancelled, as one that it needs is: true from now on, and written in time."""
+        """Cancels a waiting job because one of its dependencies is cancelled.
+
+        The job counts as cancelled at once; its own record is written with low urgency.
+        """
         self.never_started(job)
-        self._ending[job.id] = job
+        self._upstream_cancelled[job.id] = job
         record = {**job.final(job.state), "above": True}
         self.remember(job.id, record)
         self.line.told(job.id, record)
         self.recorder.mark(job, LATER)
 
     def lift(self, job, rank):
-        """An open job is as urgent as one that needs it."""
+        """Raises the urgency of an open job to that of a job that depends on it."""
         self.accounts.lift(job, rank)
         self.version += 1
         self._changed()
 
-    # Attempts of tasks
+    # Task attempts
 
     def bind(self, job, machine, zone, attempt=None):
-        """Takes a free task of the job for a start; (index, attempt). Tasks of a gang share one."""
+        """Takes a free task of the job for a start. Returns (index, attempt).
+
+        `attempt` is given for the tasks of a gang, which share one attempt number.
+        """
         index = job.free.pop()
         self.started_at[job.spec.klass] = self._loop.now()
         attempt = attempt or self.attempt()
@@ -413,28 +490,36 @@
         self.accounts.hold(job, binding)
         return index, attempt
 
-    def _refused(self, job):
-        """A creation that surely did not and will not come about: its user is to ask again."""
-        pending = self._settled(job)
+    def _on_refused(self, job):
+        """Callback of the recorder: a creation did not take effect and never will.
+
+        The result is (False, None): the user has to submit the job again.
+        """
+        pending = self._finish_creation(job)
         self._cancelled_early.discard(job.id)
         if pending is not None:
             pending.set((False, None))
 
     def pending(self):
-        """Ids of jobs that are being created."""
-        return self._creating
+        """Returns the creations under way: a map of job ids to the Futures of their outcomes."""
+        return self._creations
 
     def creating(self, group):
-        return sum(self.teams.group(job.spec.team) == group for job in self._new.values())
+        """Returns how many jobs of a group are being created here."""
+        return sum(self.teams.group(job.spec.team) == group for job in self._being_created.values())
 
     def reconsider(self):
-        """Partitions that were closing are ours after all, or surely not: their quota leaders are told."""
-        for job in self._unowned:
+        """Announces the jobs without an owner once the handover of quota partitions has an outcome.
+
+        The partitions that were closing either stay here after all or surely have another leader. Their quota
+        leaders are told of the jobs accepted meanwhile.
+        """
+        for job in self._without_owner:
             self._on_orphan(job)
-        self._unowned = []
+        self._without_owner = []
 
     def stop_group(self, group):
-        """Running work of a group stops, saved where it can be, and waits."""
+        """Stops all running tasks of a group. They save their state if they can, and wait again."""
         account = self.accounts.get(group)
         for job in account.jobs if account is not None else ():
             for index, binding in job.bound.items():
@@ -442,58 +527,64 @@
                     self.stop(job, index, binding)
 
     def stop(self, job, index, binding):
-        """A task stops, saved if it can be; it waits again once it is surely gone."""
+        """Stops a task, with time to save its state. It waits again once it is surely gone."""
         self.send_home(binding, frames.Stop(binding.machine, job.id, index, binding.attempt, job.spec.save_s))
 
     def unbind(self, job, index):
-        """The task's attempt is surely nowhere: it waits again, unless it is done or its job over."""
+        """Handles an attempt that is surely on no machine.
+
+        Its task waits again, unless it is done or its job is over.
+        """
         self.accounts.let_go(job, job.bound.pop(index))
         if job.state == "open" and index not in job.done:
             job.free.append(index)
             if job.gang:
-                self._break_up(job)
+                self._stop_gang(job)
             self._changed()
         elif job.state == "cancelled":
-            self._end_cancelled(job)
+            self._release_cancelled(job)
 
-    def _end_cancelled(self, job):
-        """A cancelled job is let go of, and its mark, once none of its tasks can be anywhere: homes that
-        have not told yet may find some, whose homes read of it by that mark alone."""
+    def _release_cancelled(self, job):
+        """Releases a cancelled job and its cancellation mark once none of its tasks can be on any machine.
+
+        Shard leaders that have not reported yet may still find tasks of it, and they learn of the
+        cancellation from the mark alone.
+        """
         if not job.bound and not job.unsynced:
-            self._leave(job)
+            self._remove_owned(job)
             self.recorder.drop(CANCEL + job.id)
 
-    def _break_up(self, job):
-        """One of a gang is missing: the others stop, and all start anew once they are surely gone.
+    def _stop_gang(self, job):
+        """Stops the rest of a gang that lost a task; all start again once they are surely gone.
 
-        None is started again under the attempt that its peers know: a late launch of it could
-        still come, and nobody could tell the two apart.
+        A task is never restarted alone under the gang's attempt number: a late launch of the old one could
+        still arrive, and nobody could tell the two apart.
         """
         for index, binding in job.bound.items():
             if binding.status not in ("exited", "saving"):
                 self.stop(job, index, binding)
 
     def send_home(self, binding, frame):
-        """Sends a frame to the home of the machine that an attempt is bound on."""
-        home = self._member.term.home(binding.machine)
-        if home is not None:
-            self._send(home, frame)
+        """Sends a frame to the leader of the machine on which an attempt is bound."""
+        leader = self._member.term.home(binding.machine)
+        if leader is not None:
+            self._send(leader, frame)
 
     def forget(self, job_id, bindings):
-        """(index, binding) pairs of attempts that ended: their machines may forget them."""
-        homes = {}
+        """Tells the shard leaders to forget ended attempts, given as (index, binding) pairs."""
+        by_leader = {}
         for index, binding in bindings:
-            home = self._member.term.home(binding.machine)
-            homes.setdefault(home, []).append((binding.machine, job_id, index, binding.attempt))
-        homes.pop(None, None)
-        for home, rows in homes.items():
-            self._send(home, frames.Forget(rows))
+            leader = self._member.term.home(binding.machine)
+            by_leader.setdefault(leader, []).append((binding.machine, job_id, index, binding.attempt))
+        by_leader.pop(None, None)
+        for leader, rows in by_leader.items():
+            self._send(leader, frames.Forget(rows))
 
     def cancelled(self, job_id, record=None):
-        """The job is durably cancelled."""
-        if job_id in self._ending:
-            return  # its end is being written; the conflict tells of this one
-        if job_id in self._new:
+        """Handles the durable cancellation of a job. `record` is its final record, if known."""
+        if job_id in self._upstream_cancelled:
+            return  # its end is being written; the conflict of that write reports this cancellation
+        if job_id in self._being_created:
             self._cancelled_early.add(job_id)
         waiting = self.line.waits.jobs.get(job_id)
         if waiting is not None:
@@ -510,11 +601,11 @@
         if job is None or job.state == "cancelled":
             return
         if job.state == "done" and record is None:
-            return  # its end is being written; the conflict tells which came first
+            return  # its end is being written; the outcome of that write shows which came first
         job.state = "cancelled"
         self.recorder.unmark(job)
         if self._adopting.pop(job, False):
-            self._taken(job)  # its write may never have an outcome
+            self._on_taken_over(job)  # the write of its takeover may never have an outcome
         if record is not None:
             self.remember(job_id, record)
         job.free.clear()
@@ -524,13 +615,16 @@
             del job.bound[index]
         for index, binding in list(job.bound.items()):
             self.send_home(binding, frames.Stop(binding.machine, job_id, index, binding.attempt, 0.0))
-        self._end_cancelled(job)
+        self._release_cancelled(job)
 
     def _ask_for_tasks(self, job):
-        """A job that waited is cancelled, and its owner of before may have let it go, and started some: they
-        count, and the mark of its cancellation stays, until the homes have told of them."""
+        """Asks the shard leaders for tasks of an inherited job that is cancelled while it waits here.
+
+        Its previous owner may have released it and started some. They count against the team's limit, and the
+        cancellation mark stays, until the shard leaders have reported them.
+        """
         self._perhaps_started.pop(job, None)
         job.release(self._time_of_day())
         job.free.clear()
-        self._begin(job)
+        self._add_owned(job)
         self.reconciliation.ask_all([job])
--- a/roadhead/jobs/context.py
+++ b/roadhead/jobs/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the job store share."""
+"""The dependencies that the parts of the job store share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,8 +9,14 @@
 class OwnerContext:
     """The surroundings of the jobs that a controller owns.
 
-    `send(label, frame)` sends to a controller, this one included; `changed()` says that something may be
-    placed; `count(name)` counts an event; `time_of_day()` in seconds since the epoch; `lease_s` of workers.
+    Attributes:
+        loop: the event loop.
+        member: this controller's membership.
+        send: `send(label, frame)` sends a frame to a controller, this one included.
+        changed: called when a task may have become placeable.
+        count: `count(name)` counts an event.
+        time_of_day: returns seconds since the epoch.
+        lease_s: length of the workers' lease in seconds.
     """
 
     loop: Any
--- a/roadhead/jobs/guards.py
+++ b/roadhead/jobs/guards.py
@@ -1,17 +1,17 @@
-"""What else the creation of a job depends on (Recorder, `guards`)."""
+"""Conditions that the creation of a job depends on besides the term (`guards` of `Recorder`)."""
 
 
 class NoGuards:
-    """Where creations depend on nothing but the term."""
+    """Guards of a deployment in which creations depend on the term alone."""
 
     @staticmethod
     def of(_job):
-        """The (key, stamp) under which alone the job may be created, or None."""
+        """Returns the (key, stamp) under which alone the job may be created, or None."""
         return None
 
     @staticmethod
     def later(_job):
-        """Whether its creation comes after others'."""
+        """Returns whether the creation is written after others."""
         return False
 
 
--- a/roadhead/jobs/job.py
+++ b/roadhead/jobs/job.py
@@ -1,4 +1,4 @@
-"""A job as its owner knows it, and its durable record."""
+"""A job as its owner sees it, and the records that the state service stores of it."""
 
 import math
 
@@ -9,34 +9,38 @@
 from roadhead.wire.messages import URGENCIES, JobSpec
 
 KEY = "j/"
-SHELF = "f/"  # where final records are moved to
+SHELF = "f/"  # prefix of final records that were moved to the archive
 RANK = {name: rank for rank, name in enumerate(URGENCIES)}
 FINAL = ("done", "cancelled")
-FORMAT = 4  # of records, told with the membership; behind it (membership/gate.py) a job may wait for others
-NOBODY = ("", 0)  # owner of a job that its warden has yet to take over
-HEAD_BYTES = 200  # of a record beside the description, as JSON, with room for some ranges of tasks done
-TRIES = 2  # tasks at once of a job that seems to fail wherever it runs
+# Format of the records written here, announced with the membership. A job may wait for others only once all
+# members have announced it (membership/gate.py).
+FORMAT = 4
+NOBODY = ("", 0)  # owner of a job that its quota leader has yet to take over
+# JSON bytes of a record besides the description, with room for some ranges of done tasks.
+RECORD_OVERHEAD_BYTES = 200
+MAX_DOUBTFUL_TASKS = 2  # tasks that may be started at once of a job that seems to fail wherever it runs
 
 
 class Binding:
-    """A task's attempt that is, or may be, on a machine."""
+    """An attempt of a task that is, or may be, on a machine."""
 
     __slots__ = ("at", "attempt", "held", "machine", "status", "zone")
 
     def __init__(self, machine, zone, attempt, status, at):
-        self.at = at  # when it was bound here
+        self.at = at  # when it was bound here, on the loop's clock
         self.machine = machine
         self.zone = zone
         self.attempt = attempt
         self.status = status
-        self.held = False  # counted in its team's account
+        self.held = False  # whether it is counted in its team's account
 
 
 class Job:
-    """`free` holds the tasks that may be started, `bound` those that may be on a machine.
+    """An open job: its description, its record's state, and the state of each of its tasks.
 
-    `unsynced`: homes that have yet to say what they know of an inherited job; nothing of
-    it starts before (safety 3).
+    `free` holds the tasks that may be started, `bound` those that may be on a machine. `unsynced` names the
+    shard leaders that have yet to report the tasks of an inherited job; nothing of the job starts before they
+    have (safety rule 3 in docs/design.md).
     """
 
     __slots__ = (
@@ -82,82 +86,89 @@
         self.id = spec.id
         self.spec = spec
         self.owner = owner
-        self.accepted_at = accepted_at  # time of day
+        self.accepted_at = accepted_at  # time of day in seconds
         self.stamp = stamp
         self.state = "open"
         self.done = Ranges(done)
         self.free = Pool(self.done, spec.tasks)
         self.bound = {}
-        self.rank = RANK[spec.urgency]  # or that of a job that needs this one
-        # Times of day by which it must be complete for those that need it, for the first of their
-        # deadlines and for the last (pipelines/wishes.py).
+        self.rank = RANK[spec.urgency]  # or that of a more urgent job that depends on this one
+        # Times of day by which it must be complete for the jobs that depend on it: for the earliest of their
+        # deadlines, and for the latest (pipelines/wishes.py).
         self.due_by = self.last_by = math.inf
-        # When the last of the jobs that it needs was done; None: that is yet to come.
+        # Time of day at which its last dependency was done; None while one is not.
         self.released_at = released_at if spec.upstream or released_at else accepted_at
-        self.parts = None  # (nonce, count) where they are too many for the record (pipelines/parts.py)
-        self.head_if = None  # (key, stamp) of the first of them, under which alone the job is created
-        self.ended_at = 0.0  # when its last task was seen done
-        self.foreign = False  # taken over, and its record still names the owner of before
+        self.parts = None  # (nonce, count) if the dependency list is stored apart (pipelines/parts.py)
+        self.head_if = None  # (key, stamp) of the list's first part; the job is created only while it holds
+        self.ended_at = 0.0  # time of day at which its last task was seen done
+        self.foreign = False  # being taken over: its record still names the previous owner
         self.unsynced = {""} if inherited else set()
-        self.adopting = False  # no record names its new owner yet: nothing of it starts before
-        self.failed_on = set()  # machines on which tasks failed since the last one done
-        self.doubtful = False  # it seems to fail wherever it runs: only tried now and then
+        # No record names its new owner yet, so nothing of it starts.
+        self.adopting = False
+        self.failed_on = set()  # machines on which tasks failed since the last one that was done
+        self.doubtful = False  # it seems to fail wherever it runs, so it is only tried now and then
         self.pauses = 0
         self.not_before = 0.0
         self.saved_count = self.done.count
         self.written_at = 0.0
-        self.aims = None  # seconds after acceptance, kept by the dispatcher
-        self.place = 0.0  # in its queue
-        # Where teams share by guarantee and weight: tasks within the guarantee, and how many may start before
-        # the next round. `leads`: only the first task that starts has its place. `later`: that of the others.
+        self.aims = None  # the dispatcher's deadlines for it, in seconds after acceptance
+        self.place = 0.0  # sort key in the dispatcher's queue
+        # Where teams share by guarantee and weight: `sure` is the number of tasks within the guarantee,
+        # `part` how many tasks may start before the next round. If `leads` is set, only the first task that
+        # starts has the position `place`, and the others have `later`.
         self.sure = self.part = 0
         self.leads, self.later = False, 0.0
-        # Of a gang (dispatch/gangs.py): tasks for which room is kept, and since when.
+        # For a gang (dispatch/gangs.py): the number of tasks for which room is reserved, and since when.
         self.gathered, self.gathering_since = 0, 0.0
         needs = (spec.cpus, spec.gpus, spec.memory, spec.spot, spec.zone or "", tuple(spec.types or ()))
-        # Jobs of one room shape find room on the same machines; where a job's tasks depend on
-        # one another's zones it is alone in its shape.
+        # Jobs of one room shape fit on the same machines. A job whose tasks depend on each other's zones has
+        # a room shape of its own.
         alone = spec.one_zone or spec.spread or self.gang
         self.room_shape = (*needs, spec.team, spec.id if alone else "")
         self.shape = (self.rank, *needs, spec.klass)
-        self.built = None  # the description as stored, and its size as JSON
+        self.built = None  # (description as stored, its size as JSON), once computed
 
     def lift(self, rank):
-        """As urgent as a job that needs it."""
+        """Raises the urgency to that of a job that depends on this one."""
         self.rank = rank
         self.shape = (rank, *self.shape[1:])
 
     @property
     def waits(self):
-        """Whether jobs that it needs may not be done yet."""
+        """Whether some of its dependencies may not be done yet."""
         return self.released_at is None
 
     def release(self, at):
-        """All that it needs is durably done, since that time of day."""
+        """Notes that all dependencies are durably done since `at`, a time of day in seconds."""
         self.released_at, self.aims, self.built = at, None, None
 
     @property
     def need(self):
+        """What one task takes: (cpus, gpus, memory)."""
         spec = self.spec
         return spec.cpus, spec.gpus, spec.memory
 
     @property
     def gang(self):
-        """Whether its tasks are of use only together."""
+        """Whether its tasks are only useful when all of them run together."""
         return self.spec.kind == "group"
 
     def startable(self):
-        """How many of its tasks may be started: of a doubtful job a few at a time, of a gang all or
-        none."""
+        """Returns how many of its tasks may be started now.
+
+        A gang starts all of its tasks or none. A job in doubt runs only a few at a time.
+        """
         if self.gang:
             return len(self.free) if not self.bound else 0
-        return len(self.free) if not self.doubtful else min(len(self.free), TRIES - len(self.bound))
+        return (
+            len(self.free) if not self.doubtful else min(len(self.free), MAX_DOUBTFUL_TASKS - len(self.bound))
+        )
 
     def failed(self, machine):
-        """A task failed there; True if the job is in doubt from now on.
+        """Notes that a task failed on a machine. Returns whether the job is in doubt from now on.
 
-        A faulty machine fails all jobs, a faulty job fails on all machines: it is in doubt
-        once it failed on two, and on no fewer than those that still run it.
+        A faulty machine fails all jobs, and a faulty job fails on all machines. The job is therefore in doubt
+        once it has failed on at least two machines, and on no fewer than those that still run it.
         """
         self.failed_on.add(machine)
         if self.doubtful or len(self.failed_on) < 2:
@@ -167,34 +178,38 @@
         return self.doubtful
 
     def status(self):
+        """Returns the state that users see: "pending", "running", "done" or "cancelled"."""
         if self.state != "open":
             return self.state
         running = self.running()
         return "running" if running else "pending"
 
     def running(self):
+        """Returns how many tasks are running or saving their state."""
         return sum(binding.status in ("running", "saving") for binding in self.bound.values())
 
     def complete(self):
+        """Returns whether all tasks are done. A daemon is never complete."""
         return self.spec.kind != "daemon" and self.done.count >= self.spec.tasks
 
     def final(self, state):
-        """The record of the job once it is over."""
+        """Returns the final record of the job: `state` is "done" or "cancelled"."""
         ended = {"e": self.ended_at} if self.ended_at else {}
         return {"s": state, "n": self.spec.tasks, "d": self.done.count, **ended}
 
     def record(self, largest):
-        """The value to store, of at most `largest` bytes as JSON, and the tasks recorded done.
+        """Returns the record to store and the tasks that it says are done.
 
-        If ragged completion does not fit, the shortest ranges are left out: their tasks
-        keep their results on their machines, which are not told to forget them.
+        The record takes at most `largest` bytes as JSON. If the ranges of done tasks do not all fit, the
+        shortest are left out. The results of these tasks stay on their machines, which are not told to forget
+        them.
         """
         if self.state != "open":
             return self.final(self.state), self.done
         if self.built is None:
             spec = msgspec.to_builtins(self.spec)
             if not self.waits or self.parts:
-                spec.pop("upstream", None)  # elsewhere, or nothing depends on them any more
+                spec.pop("upstream", None)  # stored apart, or no longer waited for
             self.built = spec, len(msgspec.json.encode(spec))
         spec, size = self.built
         record = {
@@ -205,7 +220,7 @@
             "done": self.done.flat(),
         }
         if self.waits:
-            record["v"] = FORMAT  # who does not know of upstream jobs would start it too early
+            record["v"] = FORMAT  # a version that does not know `upstream` would start the job too early
             if self.parts:
                 record["up"] = list(self.parts)
         elif self.released_at != self.accepted_at:
@@ -220,16 +235,20 @@
 
 
 def size_of(spec):
-    """Bytes as JSON of the record of a job just submitted, at the most."""
-    return len(msgspec.json.encode(msgspec.to_builtins(spec))) + HEAD_BYTES
+    """Returns an upper bound of the size, in bytes of JSON, of a newly submitted job's record."""
+    return len(msgspec.json.encode(msgspec.to_builtins(spec))) + RECORD_OVERHEAD_BYTES
 
 
 def spec_of(record):
+    """Parses the job description in an open record."""
     return messages.parse(record["spec"], JobSpec)
 
 
 def from_record(record, owner, stamp):
-    """An inherited job. Nothing of one that nobody has owned can have been started."""
+    """Builds an inherited job from its open record.
+
+    A job that never had an owner cannot have been started, so no shard leader has to report its tasks.
+    """
     job = Job(
         spec_of(record),
         owner,
@@ -244,12 +263,12 @@
 
 
 def before(record):
-    """Ids of the jobs that an open record's job still waits for, as far as the record tells."""
+    """Returns the ids of the dependencies that an open record still waits for; empty for other records."""
     return record["spec"].get("upstream", ()) if record["s"] == "open" and "rel" not in record else ()
 
 
 def shorten(record):
-    """What of a record is kept to answer polls, as long as its stamp holds."""
+    """Returns the parts of a record that polls need; they can be kept as long as its stamp is unchanged."""
     if record["s"] != "open":
         return record
     spec, done = record["spec"], record["done"]
@@ -263,18 +282,21 @@
 
 
 def closing(record):
-    """The final record of an open job that is cancelled."""
+    """Returns the final record of an open job that is cancelled."""
     done = record["done"]
     return {"s": "cancelled", "n": record["spec"]["legs"], "d": sum(done[1::2]) - sum(done[0::2])}
 
 
 def closing_above(record):
-    """The same of one that is cancelled with a job that it needs: by derivation, and without any task yet."""
+    """Returns the final record of an open job that is cancelled because one of its dependencies is.
+
+    None of its tasks was started.
+    """
     return {**closing(record), "above": True}
 
 
 def answer(record, job_id):
-    """The answer to a poll, from a record alone."""
+    """Returns the answer to a poll, built from a record alone."""
     if record["s"] == "open":
         done = sum(record["done"][1::2]) - sum(record["done"][0::2])
         return messages.job_status(
--- a/roadhead/jobs/newness.py
+++ b/roadhead/jobs/newness.py
@@ -1,4 +1,4 @@
-"""Of the creations that have to wait: which are new, and which are late retries."""
+"""Finds out which of the waiting creations are new jobs and which are late retries of old ones."""
 
 import logging
 from itertools import islice
@@ -9,14 +9,24 @@
 
 log = logging.getLogger("roadhead.newness")
 
-CHECK_PARTS = 64  # of the time between writes of progress, after which a creation is looked into
-TRIES = 3  # of one comparison, as long as its answers are lost
-PAUSE_PARTS = 16  # of the same time, after a comparison that told nothing
+# A waiting creation is checked after 1/CHECK_DELAY_DIVISOR of the time between two writes of progress.
+CHECK_DELAY_DIVISOR = 64
+MAX_ATTEMPTS = 3  # of one comparison, as long as its answers are lost
+# After a comparison without a result the next one waits 1/RETRY_DELAY_DIVISOR of the same time.
+RETRY_DELAY_DIVISOR = 16
 
 
 class Newness:
-    """`settle(job)` is awaited for those of which there is a record. `on_new()`: it was found that there
-    is no record (`fresh`), or that nobody can say (`unsure`)."""
+    """Compares waiting creations with the stored records.
+
+    Args:
+        loop: the event loop.
+        state: the state service's client.
+        progress_s: seconds between two writes of a job's progress.
+        settle: `settle(job)` is awaited for each creation of which there is a record already.
+        on_new: called when creations were found to have no record (`fresh`), or when nobody can tell
+            (`unsure`).
+    """
 
     def __init__(self, loop, state, progress_s, settle, on_new):
         self._loop = loop
@@ -25,31 +35,37 @@
         self._settle = settle
         self._on_new = on_new
         self._unchecked = Signal()
-        self._to_check = {}  # in order as a set
-        self.fresh = {}  # those that were looked into and found to be new, in order as a set
-        self.unsure = False  # whether nobody can say at present which are
+        self._to_check = {}  # an ordered set
+        self.fresh = {}  # waiting creations found to be new; an ordered set
+        self.unsure = False  # whether nobody can tell at present which creations are new
 
     def add(self, job):
-        """The creation has to wait."""
+        """Adds a creation that has to wait."""
         if job not in self.fresh:
             self._to_check[job] = True
             self._unchecked.set()
 
     def being_written(self, job):
-        """The creation's outcome will tell."""
+        """Skips a creation whose write is under way: the outcome shows whether it is new."""
         self._to_check.pop(job, None)
 
     def remove(self, job):
-        """The creation does not wait any more."""
+        """Removes a creation that does not wait any more."""
         self._to_check.pop(job, None)
         self.fresh.pop(job, None)
 
     async def run(self):
-        """Duty. Users may submit a job again at any later time, and whoever has not seen its end can't
-        tell that from a new one. Many are compared in one request, which writes nothing."""
+        """Duty: checks the waiting creations.
+
+        Users may submit a job again at any later time, and a controller that has not seen the job's end
+        cannot tell the retry from a new job. Many creations are compared in one request, which writes
+        nothing.
+        """
         while True:
             await self._unchecked.wait()
-            await self._loop.sleep(self._progress_s / CHECK_PARTS)  # most are written by then
+            await self._loop.sleep(
+                self._progress_s / CHECK_DELAY_DIVISOR
+            )  # most creations are written by then
             batch = list(islice(self._to_check, 2 * int(self._state.limits.txn_ops)))
             if not batch:
                 continue
@@ -61,10 +77,10 @@
                     if not {KEY + job.id, SHELF + job.id}.isdisjoint(error.failed):
                         await self._settle(job)
             except (Unavailable, Unsure) as error:
-                log.debug("check of %d creations: %r", len(batch), error)
+                log.debug("comparison of %d waiting creations got no result: %r", len(batch), error)
                 self.unsure = True
                 self._on_new()
-                await self._loop.sleep(self._progress_s / PAUSE_PARTS)
+                await self._loop.sleep(self._progress_s / RETRY_DELAY_DIVISOR)
             else:
                 self.unsure = False
                 for job in batch:
@@ -74,9 +90,9 @@
             self._unchecked.set()
 
     async def _compare(self, batch):
-        """Raises Conflict unless there is no record of any of them."""
+        """Raises Conflict unless none of these jobs has a record."""
         conditions = [(place + job.id, 0) for job in batch for place in (KEY, SHELF)]
-        for left in reversed(range(TRIES)):
+        for left in reversed(range(MAX_ATTEMPTS)):
             try:
                 return await self._state.unchanged(conditions)
             except Unsure:
--- a/roadhead/jobs/quota.py
+++ b/roadhead/jobs/quota.py
@@ -1,21 +1,23 @@
-"""Quota partitions: for which limited teams this controller is the quota leader, and what their limits leave.
+"""Quota partitions: which teams with limits this controller leads, and what their limits leave.
 
-Only the quota leader of a group of teams starts their tasks, and only while each task of the group that may
-be on a machine is known to it (docs/fault-combinations.md, "What a quota leader counts").
+The teams with limits are divided into groups, and the groups into partitions. Each partition has one quota
+leader. Only that controller starts tasks of the partition's groups, and only while it knows of every task of
+the group that may be on a machine (docs/fault-combinations.md, "What a quota leader counts").
 """
 
 from roadhead.homes.machine import NOTHING
 
-NO_ROOM = (-1.0, -1.0)  # not even for a task that takes nothing
-AMPLE = 1e12  # CPUs or GPUs of a team without a limit on them
-LONG_AGO = -1e9  # by the steady clock
+NO_ROOM = (-1.0, -1.0)  # (cpus, gpus); excludes even a task that takes nothing
+UNLIMITED = 1e12  # CPUs or GPUs left to a team without a limit on them
+LONG_AGO = -1e9  # on the loop's clock; before any other time
 
 
 class QuotaPartitions:
-    """The partitions held here. `teams` and `accounts` say which groups there are, and what they hold.
+    """The partitions that this controller leads.
 
-    `closing`: partitions about to be handed on, of which nothing comes to this controller any more.
-    `scanned`: the number of the term for which all records were read.
+    `teams` tells which group a team belongs to, and `accounts` what the groups hold. `closing` are the
+    partitions about to be handed to another controller; no more jobs of them are accepted for this one.
+    `scanned` is the number of the term under which all records were last read.
     """
 
     def __init__(self, loop, member, teams, accounts):
@@ -23,18 +25,20 @@
         self._member = member
         self._teams = teams
         self._accounts = accounts
-        self.held_since = {}  # partition held here -> number of the term that gave it
+        self.held_since = {}  # partition led here -> number of the term that gave it to this controller
         self.scanned = 0
         self.closing = set()
-        self.unread = set()  # those whose leader of before ended: it may have left cancelled tasks running
-        self._gone_at = {}  # partition -> by then those are gone
+        # Partitions whose previous leader ended; it may have left tasks of cancelled jobs running.
+        self.unread = set()
+        self._gone_at = {}  # partition -> when those tasks are gone, on the loop's clock
 
     def on_term(self, old, new):
-        """Which partitions are held here, and since which term."""
+        """Updates which partitions are led here, and since which term."""
         label = self._member.label
         same = old is not None and old.incarnation(label) == new.incarnation(label)
         held = {place for place, leader in enumerate(old.wardens) if leader == label} if same else set()
-        # In a term that was not seen here it may have gone to one that started tasks, and ended.
+        # In a term that was not seen here, a partition may have gone to a controller that started tasks and
+        # ended.
         skipped = old is None or new.number > old.number + 1
         if skipped:
             held -= self.closing
@@ -45,30 +49,36 @@
         }
         for place in self.held_since.keys() - held:
             before = old.wardens[place] if old is not None and place < len(old.wardens) else None
-            # One that gave it away had nothing of it any more.
+            # A leader that hands a partition over has no jobs or tasks of it left.
             if skipped or before is None or old.incarnation(before) != new.incarnation(before):
                 self.unread.add(place)
         self.unread &= self.held_since.keys()
 
     def inherits_limits(self):
-        """Whether a partition came from a leader that ended, and its records were not all read since."""
+        """Returns whether a partition came from a leader that ended, and not all records were read since."""
         return self.has_limits and bool(self.unread)
 
     def all_read(self, number, gone_at):
-        """All records were read under that term. `gone_at`: by then all tasks of jobs found cancelled are
-        gone, None if there were none."""
+        """Notes that all records were read under the term with that number.
+
+        `gone_at` is when all tasks of the jobs found cancelled are gone, on the loop's clock; None if there
+        were none.
+        """
         for place in self.unread:
             self._gone_at[place] = LONG_AGO if gone_at is None else gone_at
         self.unread.clear()
         self.scanned = number
 
     def read_anew(self, team):
-        """What may run of the team's group is not known until all records are read once more."""
+        """Notes that the tasks of a team's group are unknown until all records are read again."""
         self.unread.add(self._partition(self._teams.group(team)))
         self.unread &= self.held_since.keys()
 
     def owns(self, team):
-        """Whether jobs of the team may be owned here: those of a limited one are its quota leader's."""
+        """Returns whether jobs of the team may be owned here.
+
+        Jobs of a team with a limit may be owned only by its quota leader.
+        """
         group = self._teams.group(team)
         if group is None:
             return True
@@ -78,13 +88,16 @@
         )
 
     def idle(self, groups):
-        """Partitions held here of which nothing is owned, nor may run cancelled: whoever is given one starts
-        at once. `groups`: those with jobs here, None for jobs without a limit."""
+        """Returns the partitions led here that have no jobs and no cancelled tasks that may still run.
+
+        Whoever is given one can start tasks at once. `groups` are the groups that have jobs here; None stands
+        for jobs without a limit.
+        """
         busy = {self._partition(group) for group in groups if group is not None}
         return [place for place in self.held_since if place not in busy and self.knows_partition(place)]
 
     def knows_partition(self, place):
-        """Whether all jobs of a partition are known here, and those cancelled before that are gone."""
+        """Returns whether all jobs of a partition are known, and tasks of cancelled ones are gone."""
         since = self.held_since.get(place)
         return (
             since is not None
@@ -94,31 +107,33 @@
         )
 
     def knows_all(self, group):
-        """Whether the quota leader of a group, this controller, knows of every job of it."""
+        """Returns whether this controller is the group's quota leader and knows all of its jobs."""
         since = self.held_since.get(self._partition(group))
         return since is not None and self.scanned >= since
 
     def headroom(self, team):
-        """How many (cpus, gpus) the tasks of a limited team may still take.
+        """Returns how many (cpus, gpus) the tasks of a limited team may still take.
 
-        The quota leader alone starts them, and only while it knows of every task of the group that
-        may be on a machine: until then there is none. A partition held since a term for which all
-        records were read has no jobs but those that are owned here, whatever changed since.
+        Only the quota leader starts them, and only while it knows of every task of the group that may be on a
+        machine: until then there is no headroom. A partition held since a term under which all records were
+        read has no jobs but those owned here, whatever changed since.
         """
         rooms = self.level_rooms(team)
         if rooms is None or not self.counted(team):
             return NO_ROOM
-        return tuple(min(parts) for parts in zip((AMPLE, AMPLE), *rooms.values(), strict=True))
+        return tuple(min(parts) for parts in zip((UNLIMITED, UNLIMITED), *rooms.values(), strict=True))
 
     def counted(self, team):
-        """Whether every task of a limited team's group that may be on a machine is known of here."""
+        """Returns whether every task of a limited team's group that may be on a machine is known here."""
         group = self._teams.group(team)
         account = self._accounts.get(group)
         return self.knows_partition(self._partition(group)) and not (account and account.unsure)
 
     def level_rooms(self, team):
-        """{level: (cpus, gpus)}: what each limit on the team leaves, by the tasks known of so far; None if
-        nothing of the team starts from here."""
+        """Returns {level: (cpus, gpus)}: what each limit on the team leaves, by the tasks known so far.
+
+        Returns None if no task of the team may be started from here.
+        """
         levels = self._teams.levels(team)
         if self._partition(self._teams.group(team)) not in self.held_since or levels is None:
             return None
@@ -126,16 +141,18 @@
         for name, limits in levels:
             account = self._accounts.get(name)
             held = account.held if account is not None else NOTHING
-            rooms[name] = tuple(most - held[place] if most else AMPLE for place, most in enumerate(limits))
+            rooms[name] = tuple(
+                most - held[place] if most else UNLIMITED for place, most in enumerate(limits)
+            )
         return rooms
 
     @property
     def has_limits(self):
-        """Whether there may be any team with a limit."""
+        """Whether any team may have a limit."""
         return self._teams.limited
 
     def limited(self, team):
-        """Whether a team has a limit."""
+        """Returns whether a team has a limit."""
         return self._teams.group(team) is not None
 
     def _partition(self, group):
--- a/roadhead/jobs/quota_spreading.py
+++ b/roadhead/jobs/quota_spreading.py
@@ -1,37 +1,37 @@
-"""Quota partitions spread over the controllers: idle ones are handed to whoever leads fewer.
+"""Spreads the quota partitions over the controllers: idle ones go to those that lead fewer.
 
-Whoever joins first leads every partition, and one that comes back leads none. A partition is handed on by
-its own leader, and only while nothing of it is owned, being created or taken over there: then no
-account has to move, and the limits of its teams hold whoever starts the next of their tasks.
-From before the compare-and-set until its outcome is known the partition is closing: jobs of it
-that are accepted meanwhile have no owner, and the successor's scan finds them.
+The first controller to join leads every partition, and one that rejoins leads none. Only a partition's own
+leader hands it over, and only while it has no jobs that are owned, being created or being taken over there.
+So no account has to move, and the limits of the partition's teams hold whichever controller starts their next
+task. From before the compare-and-set until its outcome is known, the partition is closing: jobs of it that
+are accepted meanwhile have no owner, and the successor's scan finds them.
 """
 
 import math
 
 
 def surplus(leaders, label, members, idle):
-    """{partition: new leader} for idle ones that `label` leads beyond an equal part, to those with fewest.
+    """Returns {partition: new leader} for idle partitions that `label` leads beyond an equal share.
 
-    `leaders`: the label of each partition's leader.
+    They go to the members that lead the fewest. `leaders` names each partition's leader.
     """
-    most = math.ceil(len(leaders) / max(1, len(members)))
-    counts = {member: leaders.count(member) for member in sorted(members)}
-    given = {}
+    equal_share = math.ceil(len(leaders) / max(1, len(members)))
+    partitions_led = {member: leaders.count(member) for member in sorted(members)}
+    handovers = {}
     for partition in idle:
-        if counts.get(label, 0) <= most:
+        if partitions_led.get(label, 0) <= equal_share:
             break
-        fewest = min(counts, key=counts.get)
-        if counts[fewest] >= most or fewest == label:
+        fewest = min(partitions_led, key=partitions_led.get)
+        if partitions_led[fewest] >= equal_share or fewest == label:
             break
-        given[partition] = fewest
-        counts[label] -= 1
-        counts[fewest] += 1
-    return given
+        handovers[partition] = fewest
+        partitions_led[label] -= 1
+        partitions_led[fewest] += 1
+    return handovers
 
 
 class QuotaSpreading:
-    """A duty of each controller. `every_s`: how often it looks for idle partitions."""
+    """Duty of each controller that hands over idle partitions; it looks for them every `every_s` seconds."""
 
     def __init__(self, loop, member, book, every_s):
         self._loop = loop
@@ -40,21 +40,21 @@
         self._every_s = every_s
 
     async def run(self):
-        """The duty. An outcome that is not known is asked for again, under the same revision, until it is."""
+        """Runs the duty. A handover whose outcome is unknown is sent again under the same revision."""
         while True:
             await self._loop.sleep(self._every_s)
             if not self._member.joined or self._member.lapsed():
                 continue
             term = self._member.term
-            given = surplus(term.wardens, self._member.label, term.members, self._book.idle_partitions())
-            if given:
-                await self._give(term, given)
+            handovers = surplus(term.wardens, self._member.label, term.members, self._book.idle_partitions())
+            if handovers:
+                await self._give(term, handovers)
 
-    async def _give(self, term, given):
-        self._book.quota.closing = set(given)
+    async def _give(self, term, handovers):
+        self._book.quota.closing = set(handovers)
         outcome = None
         while outcome is None and self._member.joined and self._member.term is term:
-            outcome = await self._member.give(given)
+            outcome = await self._member.give(handovers)
             if outcome is None:
                 await self._loop.sleep(self._every_s / 4)
         self._book.quota.closing = set()
--- a/roadhead/jobs/ranges.py
+++ b/roadhead/jobs/ranges.py
@@ -1,10 +1,13 @@
-"""Sets of task numbers as sorted, disjoint ranges."""
+"""Sets of task numbers, kept as sorted, disjoint ranges."""
 
 from bisect import bisect_right
 
 
 class Ranges:
-    """`starts[i] <= number < ends[i]`. Written as a flat list [start, end, start, end, ...]."""
+    """A set of numbers: those with `starts[i] <= number < ends[i]` for some i.
+
+    It is stored as a flat list [start, end, start, end, ...].
+    """
 
     __slots__ = ("count", "ends", "starts")
 
@@ -18,7 +21,7 @@
         return at >= 0 and number < self.ends[at]
 
     def add(self, number):
-        """False if it was in already."""
+        """Adds a number. Returns False if it was in the set before."""
         at = bisect_right(self.starts, number) - 1
         if at >= 0 and number < self.ends[at]:
             return False
@@ -38,17 +41,18 @@
         return True
 
     def flat(self):
+        """Returns the set as a flat list [start, end, start, end, ...]."""
         return [edge for pair in zip(self.starts, self.ends, strict=True) for edge in pair]
 
 
 class Pool:
-    """Task numbers that may be taken: ranges not yet touched, and those that came back.
+    """The task numbers of a job that may be taken: ranges not yet touched, and numbers that were returned.
 
-    The lowest comes first, one that came back before all others. A job of 100,000 waiting tasks
-    takes two numbers of memory, not 100,000.
+    Returned numbers are taken first, then the lowest untouched one. A job of 100,000 waiting tasks takes two
+    numbers of memory, not 100,000.
     """
 
-    __slots__ = ("_back", "_ends", "_starts", "left")
+    __slots__ = ("_ends", "_returned", "_starts", "left")
 
     def __init__(self, done, total):
         self._starts, self._ends = [], []
@@ -58,25 +62,25 @@
                 self._starts.append(at)
                 self._ends.append(start)
             at = end
-        self._back = []
-        self.left = sum(self._ends) - sum(self._starts)  # how many there are, for those who ask often
+        self._returned = []
+        self.left = sum(self._ends) - sum(self._starts)  # The size of the pool; kept because it is read often
 
     def __len__(self):
         return self.left
 
     def _range(self, number):
-        """Where the untouched range with the number is, or -1."""
+        """Returns the index of the untouched range that contains the number, or -1."""
         at = bisect_right(self._starts, number) - 1
         return at if at >= 0 and number < self._ends[at] else -1
 
     def __contains__(self, number):
-        return number in self._back or self._range(number) >= 0
+        return number in self._returned or self._range(number) >= 0
 
     def pop(self):
         """Takes the next number. Raises IndexError if there is none."""
-        if self._back:
+        if self._returned:
             self.left -= 1
-            return self._back.pop()
+            return self._returned.pop()
         number = self._starts[0]
         self._starts[0] += 1
         if self._starts[0] == self._ends[0]:
@@ -85,15 +89,15 @@
         return number
 
     def append(self, number):
-        """A number taken before comes back."""
-        self._back.append(number)
+        """Returns a number that was taken before."""
+        self._returned.append(number)
         self.left += 1
 
     def remove(self, number):
-        """Takes that very number. Raises ValueError if it is not in."""
+        """Takes that very number. Raises ValueError if it is not in the pool."""
         at = self._range(number)
         if at < 0:
-            self._back.remove(number)
+            self._returned.remove(number)
             self.left -= 1
             return
         start, end = self._starts[at], self._ends[at]
@@ -103,4 +107,5 @@
         self.left -= 1
 
     def clear(self):
-        self._starts, self._ends, self._back, self.left = [], [], [], 0
+        """Removes all numbers."""
+        self._starts, self._ends, self._returned, self.left = [], [], [], 0
--- a/roadhead/jobs/reconciliation.py
+++ b/roadhead/jobs/reconciliation.py
@@ -1,4 +1,4 @@
-"""What every home has told of the jobs that an owner inherited (safety 3 in docs/design.md)."""
+"""Learns from the shard leaders which tasks of inherited jobs exist (safety rule 3 in docs/design.md)."""
 
 from typing import NamedTuple
 
@@ -6,17 +6,17 @@
 
 
 class Request(NamedTuple):
-    """What a home was asked, and has not answered yet."""
+    """A request to a shard leader that it has not answered yet."""
 
     label: str
     jobs: list
 
 
 class Reconciliation:
-    """Asks the homes for the tasks of jobs, and waits until each has told all that it knows.
+    """Asks the shard leaders for the tasks of jobs, and waits until each has reported all that it knows.
 
-    `jobs`: open jobs owned here, by id. `on_reconciled(job)` is called once every home of the term has told
-    of an inherited job.
+    `jobs` are the open jobs owned here, by id. `on_reconciled(job)` is called once every shard leader of the
+    term has reported the tasks of an inherited job.
     """
 
     def __init__(self, context, jobs, on_reconciled):
@@ -25,13 +25,13 @@
         self._changed = context.changed
         self._jobs = jobs
         self._on_reconciled = on_reconciled
-        self.inherited = {}  # jobs of which not every home has told, in order as a set
-        self._requests = {}  # number -> Request
-        self._number = 0
-        self._whole = {}  # home -> number of the last request that told it all, until it is answered
+        self.inherited = {}  # inherited jobs that not every shard leader has reported on yet; an ordered set
+        self._requests = {}  # request number -> Request
+        self._last_number = 0
+        self._full_requests = {}  # leader -> number of the last request for all jobs, until it is answered
 
     def ask_all(self, jobs):
-        """Tells every home of these jobs, and waits for what each knows of them."""
+        """Tells every shard leader that these jobs are owned here, and waits for what each knows of them."""
         for job in jobs:
             if job.unsynced:
                 job.unsynced = set(self._member.term.members)
@@ -39,81 +39,89 @@
             self.ask(label, jobs)
 
     def on_term(self, old, new):
-        """The term changed. Of what is owned here every home is told the jobs of which not all is known
-        yet, and what is bound on machines that it is home to only now; a new incarnation is told all."""
-        # One that told all under an older term, as when a link comes up, may have been dropped as such.
-        whole = [
+        """Asks the shard leaders again after a change of the term.
+
+        Each is told the jobs that are not fully reconciled, and those with attempts on machines that it leads
+        only since this term. A shard leader with a new incarnation is told all jobs owned here.
+        """
+        # A request for all jobs under an older term, as when a link comes up, may have been dropped for its
+        # term.
+        full = [
             label
             for label in new.members
-            if label in self._whole or old is None or old.incarnation(label) != new.incarnation(label)
+            if label in self._full_requests or old is None or old.incarnation(label) != new.incarnation(label)
         ]
         waiting = list(self.inherited)
         for job in waiting:
             job.unsynced = set(new.members)
-        moved = self._moved(old, new, whole) if old is not None else {}
+        moved = self._moved(old, new, full) if old is not None else {}
         unanswered = self._unanswered()
         for label in new.members:
-            if label in whole:
+            if label in full:
                 self.ask(label)
             elif waiting or label in moved or label in unanswered:
                 jobs = {**moved.get(label, {}), **unanswered.get(label, {}), **self.inherited}
                 self.ask(label, list(jobs), complete=True)
 
     def _unanswered(self):
-        """{home: {job: True}} of jobs that it was asked for and has not answered, as far as they are open.
+        """Returns {leader: {job: True}} for the open jobs of requests that a shard leader has not answered.
 
-        A home drops a request for another term than its own: what was under way as the term changed is
-        asked again, or a claim in it would never be answered, and its job never done.
+        A shard leader drops a request that names another term than its own. What was under way when the term
+        changed is therefore asked again: otherwise a claim in it would never be answered, and its job never
+        complete.
         """
-        found = {}
+        by_leader = {}
         for request in self._requests.values():
             jobs = {job: True for job in request.jobs if self._jobs.get(job.id) is job}
             if jobs:
-                found.setdefault(request.label, {}).update(jobs)
-        return found
+                by_leader.setdefault(request.label, {}).update(jobs)
+        return by_leader
 
-    def _moved(self, old, new, whole):
-        """{home: {job: True}} of jobs bound on machines that were not its own, or not under its token."""
+    def _moved(self, old, new, full):
+        """Returns {leader: {job: True}} for jobs on machines whose leader or token has changed."""
         moved = {}
         for job in self._jobs.values():
             for binding in job.bound.values():
-                home = new.home(binding.machine)
-                if home not in whole and old.place(binding.machine) != new.place(binding.machine):
-                    moved.setdefault(home, {})[job] = True
+                leader = new.home(binding.machine)
+                if leader not in full and old.place(binding.machine) != new.place(binding.machine):
+                    moved.setdefault(leader, {})[job] = True
         return moved
 
     def ask(self, label, jobs=None, *, complete=False):
-        """Asks one home for these jobs; None: for all. `complete`: with all of which not all is known."""
+        """Asks one shard leader for these jobs, or for all jobs if `jobs` is None.
+
+        `complete` means that `jobs` includes all jobs that are not fully reconciled.
+        """
         term = self._member.term
         if label not in term.members:
             return
-        whole = jobs is None
-        jobs = list(self._jobs.values()) if whole else jobs
+        full = jobs is None
+        jobs = list(self._jobs.values()) if full else jobs
         claims = [
             (binding.machine, job.id, index, binding.attempt)
             for job in jobs
             for index, binding in job.bound.items()
             if term.home(binding.machine) == label
         ]
-        self._number += 1
-        if whole:
-            self._whole[label] = self._number
-        if whole or complete:
-            # It names all that those before named. None may be dropped otherwise: jobs whose
-            # answer is not waited for would never start.
+        self._last_number += 1
+        if full:
+            self._full_requests[label] = self._last_number
+        if full or complete:
+            # This request names all jobs of the earlier ones, so these are superseded. Otherwise none may be
+            # dropped: jobs whose answer is not waited for would never start.
             self._requests = {n: request for n, request in self._requests.items() if request.label != label}
-        self._requests[self._number] = Request(label, jobs)
-        self._send(label, frames.Sync(term.number, self._number, [job.id for job in jobs], claims))
+        self._requests[self._last_number] = Request(label, jobs)
+        self._send(label, frames.Sync(term.number, self._last_number, [job.id for job in jobs], claims))
 
     def on_synced(self, label, frame):
-        """A home has told all that it knows of the jobs of a request."""
+        """Handles a shard leader's answer: it has reported all that it knows of the jobs of a request."""
         request = self._requests.pop(frame.number, None)
-        if self._whole.get(label) == frame.number:
-            del self._whole[label]
+        if self._full_requests.get(label) == frame.number:
+            del self._full_requests[label]
         if request is None or request.label != label:
             return
         if frame.term != self._member.term.number:
-            # Said for an older term: a home of this one may know of more.
+            # The answer was for an older term; in the current term the shard leader may know of more.
             self.ask(label, [job for job in request.jobs if job.unsynced and job.id in self._jobs])
             return
         ready = False
--- a/roadhead/jobs/recorder.py
+++ b/roadhead/jobs/recorder.py
@@ -1,9 +1,9 @@
-"""Writes job records in batches, each guarded by the stamp last known.
+"""Writes job records to the state service in batches, each write guarded by the last known stamp.
 
-What became of a transaction without an answer is looked up in the state service; meanwhile
-other jobs' go on. What did not take effect is sent again under the same stamps: should the
-first one still be carried out late, exactly one of the two takes effect, and the conflict makes
-us read what is there. A job is in one transaction at a time, so its writes keep their order.
+If a transaction gets no answer, its outcome is looked up in the state service while other jobs' writes go on.
+Records that were not written are sent again under the same stamps. If the first transaction is still carried
+out late, exactly one of the two takes effect, and the conflict makes the recorder read what is stored. A job
+is in one transaction at a time, so its writes keep their order.
 """
 
 import logging
@@ -21,19 +21,30 @@
 
 log = logging.getLogger("roadhead.recorder")
 
-MAX_BYTES = 60000
-PAUSE_S = 0.25  # after the state service refused a transaction, or what became of one can't be read
-LEAST_PART = 1 / 16  # of the value limit: a record that does not fit that is set aside
+MAX_TRANSACTION_BYTES = 60000
+# Pause after the state service refused a transaction, or the outcome of one could not be read.
+REFUSAL_PAUSE_S = 0.25
+MIN_RECORD_FRACTION = 1 / 16  # fraction of the value limit; a record that does not fit into that is set aside
 
 
 class Recorder:
-    """`on_written(job, recorded)`, `on_conflict(job, record, stamp)` tell the outcome.
-
-    `guards.of(job)` is a (key, stamp) under which alone the job may be created, or None;
-    `guards.changed(key, record, stamp)` is told what is there now once it does not hold, and
-    says whether nothing of it may be created any more. Then `on_refused(job)` is called for jobs
-    of which nothing was written. `guards.later(job)`: whether its creation comes after others'.
-    `on_new()`: more is known of creations that wait for their turn (jobs/newness.py).
+    """Queues jobs whose records have to be written, sends them in transactions and reports the outcomes.
+
+    Args:
+        loop: the event loop.
+        state: the state service's client.
+        progress_s: seconds between two writes of a job's progress.
+        on_written: `on_written(job, recorded, state)` is called once a record is stored.
+        on_conflict: `on_conflict(job, record, stamp)` is called if something else is stored.
+        on_refused: `on_refused(job)` is called if nothing of a creation was written and never will be.
+        on_new: called when more is known about which waiting creations are new (jobs/newness.py).
+        member: this controller's membership; creations depend on its term.
+        guards: conditions of creations. `guards.of(job)` returns the (key, stamp) under which alone the job
+            may be created, or None. `guards.changed(key, record, stamp)` is told what is stored under that
+            key once the stamp has changed, and returns whether nothing may be created under it any more;
+            `on_refused` is then called for the jobs concerned. `guards.later(job)` returns whether the
+            creation is written after others.
+        counters: the process's event counters.
     """
 
     def __init__(
@@ -49,17 +60,18 @@
         self._member = member
         self._guards = guards
         self._queue = WriteQueue(loop, progress_s)
-        self._in_flight = {}  # job -> Entry: no other transaction has it until its outcome is known
-        self._lanes = Lanes(loop, state.answers)
-        self._drops = Drops(loop, progress_s)
+        self._in_flight = {}  # job -> Entry; no other transaction has the job until its outcome is known
+        self._pacer = Lanes(loop, state.answers)
+        self._pending_deletes = Drops(loop, progress_s)
         self._wake = Signal()
         self.newness = Newness(loop, state, progress_s, self._settle, on_new)
         self.failing_since = None
-        self._shrink = {}  # job -> part of the value limit that its record may take: more was refused
-        self._single = False  # a batch was too large: one record at a time, until that goes through
+        # job -> fraction of the value limit that its record may take, after a larger one was refused
+        self._record_fraction = {}
+        self._one_at_a_time = False  # after a batch was too large: one record at a time until one is written
 
     def mark(self, job, urgency):
-        """The job's record is to be written; once its write under way has an outcome, if there is one."""
+        """Marks a job's record to be written, after the outcome of its write under way if there is one."""
         entry = self._in_flight.get(job)
         if entry is not None:
             entry.again = urgency if entry.again is None else min(urgency, entry.again)
@@ -71,7 +83,7 @@
             self.newness.add(job)
 
     def unmark(self, job):
-        """The job's record need not be written any more."""
+        """Withdraws the mark: the job's record need not be written any more."""
         self._queue.take(job)
         entry = self._in_flight.get(job)
         if entry is not None:
@@ -79,62 +91,68 @@
         self.newness.remove(job)
 
     def drop(self, key):
-        """A key that is no longer needed."""
-        self._drops.add(key)
+        """Queues a key that is no longer needed for deletion."""
+        self._pending_deletes.add(key)
         self._wake.set()
 
     async def _refuse(self, entries):
-        """Their guard has closed: what a write without an answer has created stays, and is ours.
+        """Refuses creations whose guard does not hold any more.
 
-        No such write can take effect any more: it held under a stamp that is no longer there.
+        A write without an answer may have created a record before. That record stays,
+        belongs to this controller, and is reported as a conflict. No such write can take effect later, since
+        the stamp that it depends on is gone.
         """
         for entry in entries:
             record, stamp = await find(self._state, entry.job.id)
             if record is not None:
-                self._changed(entry, record, stamp)
+                self._report_conflict(entry, record, stamp)
             else:
                 self.unmark(entry.job)
                 self._release(entry)
                 self._on_refused(entry.job)
 
     def holds(self, job):
-        """Whether a record of the job, with all that it needs, is small enough to be stored."""
+        """Returns whether the job's record, with all of its dependencies, is small enough to be stored."""
         return size_of(job.spec) <= self._state.limits.value_bytes
 
     def backlog(self):
+        """Returns how many urgent writes wait."""
         return len(self._queue.urgent)
 
     @property
     def fresh(self):
-        """Creations that wait and were found to be new."""
+        """Waiting creations that were found to be new."""
         return self.newness.fresh
 
     @property
     def unsure(self):
-        """Whether nobody can say at present which of those that wait are new."""
+        """Whether nobody can tell at present which waiting creations are new."""
         return self.newness.unsure
 
     async def check(self):
-        """Duty: looks into creations that have to wait."""
+        """Duty: finds out which of the waiting creations are new."""
         await self.newness.run()
 
     async def _settle(self, job):
-        """Somebody else wrote the job's record, or a write of ours whose answer was lost."""
+        """Reports the stored record of a creation that waits and turned out not to be new.
+
+        Either another controller wrote it, or a write of ours whose answer was lost.
+        """
         try:
             record, stamp = await find(self._state, job.id)
         except (Unavailable, Unsure):
-            return  # its own write finds the same
+            return  # the job's own write finds the record as well
         if record is not None and job in self._queue:
             self._on_conflict(job, record, stamp)
 
     async def run(self):
-        """Duty: sends what is marked, in transactions of which several may be under way."""
+        """Duty: writes the marked records in transactions, several of which may be under way at once."""
         try:
             while True:
-                await self._lanes.turn()
+                await self._pacer.turn()
                 batch = self._batch()
-                if not batch and not (self._drops.due() and self._state.writes.spare(SPARE)):
-                    waits = self._queue or self._drops
+                if not batch and not (self._pending_deletes.due() and self._state.writes.spare(SPARE)):
+                    waits = self._queue or self._pending_deletes
                     await self._wake.wait(self._loop, self._progress_s / 4 if waits else None)
                     continue
                 transaction = Transaction()
@@ -142,120 +160,131 @@
                     self._compose(transaction, batch)
                     await self._state.writes.take(len(transaction.writes))
                 except BaseException:
-                    self._give_back(transaction)
+                    self._requeue_unfinished(transaction)
                     raise
-                self._lanes.begin(self._carry_out(transaction))
+                self._pacer.begin(self._carry_out(transaction))
         except Cancelled:
-            self._lanes.cancel()
+            self._pacer.cancel()
             raise
 
     async def _carry_out(self, transaction):
-        """Sends one transaction, and finds out what became of each of its jobs."""
+        """Sends one transaction and finds out the outcome for each of its jobs."""
         settled = False
         try:
             settled = await self._send(transaction)
         except (Unavailable, Unsure) as error:
-            log.debug("write of %d records: %r", len(transaction.entries), error)
-            self._lanes.pause(PAUSE_S)
+            log.debug("transaction with %d records has no outcome yet: %r", len(transaction.entries), error)
+            self._pacer.pause(REFUSAL_PAUSE_S)
         finally:
-            self._give_back(transaction)
+            self._requeue_unfinished(transaction)
         if settled:
             self.failing_since, self.newness.unsure = None, False
         elif self.failing_since is None:
             self.failing_since = self._loop.now()
 
-    def _give_back(self, transaction):
-        """What has no outcome yet is written again."""
+    def _requeue_unfinished(self, transaction):
+        """Marks again the jobs of a transaction that have no outcome yet."""
         for entry in transaction.entries:
-            self._again(entry)
+            self._requeue(entry)
 
     async def _send(self, transaction):
-        """False if nothing took effect as far as is known, though nothing else is in its way."""
+        """Sends a transaction and reports its outcome.
+
+        Returns False if, as far as is known, nothing took effect although no condition failed.
+        """
         try:
             revision = await self._state.send(transaction.conditions, transaction.writes)
         except Conflict as conflict:
-            self._drops.give_back(transaction.drops)
+            self._pending_deletes.give_back(transaction.deletes)
             await self._resolve(transaction, conflict.failed)
         except Unsure:
-            self._drops.give_back(transaction.drops)
-            return await self._look_up(transaction)
+            self._pending_deletes.give_back(transaction.deletes)
+            return await self._read_outcome(transaction)
         except Unavailable as error:
-            self._drops.give_back(transaction.drops)
+            self._pending_deletes.give_back(transaction.deletes)
             if isinstance(error, TooLarge):
-                self._replan([entry.job for entry in transaction.entries])
+                self._shrink([entry.job for entry in transaction.entries])
             raise
         else:
-            self._single = False
+            self._one_at_a_time = False
             for entry in transaction.entries:
                 self._confirm(entry, revision)
         return True
 
     def _batch(self):
-        """The records to be written next. Costs what it takes, not what waits."""
-        # No more than this controller's share of a second's writes: else the transactions of
-        # several controllers meet, and the store refuses what had been waited for.
-        most = max(1, min(self._state.batch, int(self._state.writes.level()))) if not self._single else 1
-        first, after = [], []
+        """Returns the jobs to be written next. The cost depends on their number, not on how many wait."""
+        # No more than this controller's share of a second's writes. Otherwise transactions of several
+        # controllers coincide, and the state service refuses writes that had already waited.
+        max_jobs = (
+            max(1, min(self._state.batch, int(self._state.writes.level()))) if not self._one_at_a_time else 1
+        )
+        ordinary, deferred = [], []
         for job in self._queue.urgent:
             if not job.stamp and self._guards.later(job):
-                after.append(job)
+                deferred.append(job)
                 continue
-            first.append(job)
-            if len(first) == most:
-                return first
-        batch = [*first, *after, *self._queue.soon(most)][:most]
-        if len(batch) < most and self._state.writes.spare(0.5):
-            batch += self._queue.progress(most - len(batch))
+            ordinary.append(job)
+            if len(ordinary) == max_jobs:
+                return ordinary
+        batch = [*ordinary, *deferred, *self._queue.soon(max_jobs)][:max_jobs]
+        if len(batch) < max_jobs and self._state.writes.spare(0.5):
+            batch += self._queue.progress(max_jobs - len(batch))
         return batch
 
-    def _replan(self, jobs):
-        """What was refused for its size would be refused for ever: smaller transactions, then smaller
-        records, which leave out what machines remember (Job.record). What can't be smaller is set aside."""
+    def _shrink(self, jobs):
+        """Shrinks what was refused for its size, which would be refused again as it is.
+
+        First transactions become smaller, then records, which leave out tasks that machines remember
+        (`Job.record`). A record that cannot shrink further is set aside.
+        """
         if len(jobs) > 1:
-            self._single = True
+            self._one_at_a_time = True
             return
         for job in jobs:
-            part = self._shrink[job] = self._shrink.get(job, 1.0) / 2
-            if part > LEAST_PART:
+            part = self._record_fraction[job] = self._record_fraction.get(job, 1.0) / 2
+            if part > MIN_RECORD_FRACTION:
                 continue
-            log.error("the record of %s is too large for the state service; set aside", job.id)
+            log.error("job %s: record is too large for the state service and is not written any more", job.id)
             self.unmark(job)
             self._count("records_too_large")
             if not job.stamp:
-                self._shrink.pop(job)
+                self._record_fraction.pop(job)
                 self._on_refused(job)
 
     def _compose(self, transaction, batch):
-        """Adds as much of the batch as fits into one transaction, and what keys are to be dropped."""
+        """Adds as much of the batch as fits to a transaction, and the keys to be deleted."""
         size = 0
         largest = self._state.limits.value_bytes
         for job in batch:
-            record, recorded = job.record(int(largest * self._shrink.get(job, 1.0)))
-            # JSON of a range edge takes up to 7 bytes; the rest of a record is its description.
+            record, recorded = job.record(int(largest * self._record_fraction.get(job, 1.0)))
+            # One edge of a range takes up to 7 bytes of JSON; the rest of a record is the description.
             size += 1200 + 7 * len(record.get("done", ())) + 34 * len(before(record))
-            if transaction.entries and size > MAX_BYTES:
+            if transaction.entries and size > MAX_TRANSACTION_BYTES:
                 break
             if transaction.entries and len(transaction.conditions) + 5 > 4 * self._state.limits.txn_ops:
-                break  # a creation takes four conditions, and the term's is to come
+                break  # a creation takes four conditions, and that on the term is added below
             shelved = transaction.may_shelve(job, len(batch) - len(transaction.entries) - 1, self._state)
             self._add(transaction, job, record, recorded, shelved)
         if transaction.creates:
-            # A job is created only while the term names its owner: the scan that follows a
-            # drop would miss a creation that takes effect later.
+            # A job is created only while the term names its owner: the scan that follows the removal of a
+            # member would miss a creation that takes effect later.
             transaction.require((TERM, self._member.revision))
-        transaction.drops = self._drops.take(int(self._state.limits.txn_ops) - len(transaction.writes))
-        transaction.writes += [{"drop": key} for key in transaction.drops]
+        transaction.deletes = self._pending_deletes.take(
+            int(self._state.limits.txn_ops) - len(transaction.writes)
+        )
+        transaction.writes += [{"drop": key} for key in transaction.deletes]
 
     def _add(self, transaction, job, record, recorded, shelved):
+        """Adds one job's record and its conditions to a transaction."""
         transaction.require((KEY + job.id, job.stamp))
         if not job.stamp:
-            transaction.require((SHELF + job.id, 0))  # it may be over long since
+            transaction.require((SHELF + job.id, 0))  # the job may have ended long ago
             transaction.require(self._guards.of(job))
             transaction.require(job.head_if)
         transaction.put(job.id, record, shelved)
         self.newness.being_written(job)
         if recorded is job.done:
-            recorded = Ranges(job.done.flat())  # tasks done from now on are not in this record
+            recorded = Ranges(job.done.flat())  # a copy: tasks done from now on are not in this record
         entry = Entry(job, self._queue.take(job), record, recorded, job.state, shelved=shelved)
         transaction.entries.append(entry)
         self._in_flight[job] = entry
@@ -263,26 +292,26 @@
     # Outcomes
 
     def _release(self, entry):
-        """Its outcome is known, or it is to be tried again. False if that was so already."""
+        """Removes an entry from the writes under way. Returns False if it was removed before."""
         if self._in_flight.get(entry.job) is not entry:
             return False
         del self._in_flight[entry.job]
         return True
 
-    def _again(self, entry):
-        """The job is written again, under the same stamp unless another is known by then."""
+    def _requeue(self, entry):
+        """Marks the job of an entry again, unless it was unmarked meanwhile."""
         if not self._release(entry) or entry.over:
             return
         self.mark(entry.job, entry.urgency if entry.again is None else min(entry.urgency, entry.again))
 
     def _confirm(self, entry, revision):
-        """The record as sent is stored since that revision."""
+        """Handles a record that is stored as it was sent, since that revision."""
         job, recorded = entry.job, entry.recorded
         job.stamp = 0 if entry.shelved else revision
         self._count("records_shelved", int(entry.shelved))
         job.written_at = self._loop.now()
         job.saved_count = recorded.count
-        self._shrink.pop(job, None)
+        self._record_fraction.pop(job, None)
         self.newness.remove(job)
         self._release(entry)
         if entry.again is not None:
@@ -291,19 +320,19 @@
         if job.state == "open" and job.done.count > recorded.count and job not in self._queue:
             self.mark(job, SOON if job.complete() else LATER)
 
-    def _changed(self, entry, record, stamp):
-        """Something else than was sent last is stored."""
-        self._again(entry)
+    def _report_conflict(self, entry, record, stamp):
+        """Reports that something other than the last sent record is stored."""
+        self._requeue(entry)
         self._on_conflict(entry.job, record, stamp)
 
-    async def _look_up(self, transaction):
-        """The answer was lost: what is stored tells whether the transaction took effect. False if not.
+    async def _read_outcome(self, transaction):
+        """Reads what is stored after a lost answer. Returns False if the transaction did not take effect.
 
-        All of it did or nothing, so one record that is as it was before tells it for all: they are
-        sent again under the same stamps. Should the first try be carried out late, or have been on its
-        way only, exactly one of the two takes effect. Else each record is read by itself: an earlier
-        try, with other jobs or other content, may be what was carried out. No job here is in another
-        transaction meanwhile.
+        A transaction takes effect as a whole or not at all, so one record with its old stamp shows that none
+        was written. All are then sent again under the same stamps: if the first transaction is carried out
+        late, exactly one of the two takes effect. Otherwise each record is read by itself, because an earlier
+        try, with other jobs or other content, may be what was carried out. No job of the transaction is in
+        another one meanwhile.
         """
         for entry in transaction.entries:
             job = entry.job
@@ -313,14 +342,16 @@
             if entry.is_stored_as(record):
                 self._confirm(entry, stamp)
             elif record is None:
-                self._changed(entry, *await find(self._state, job.id))
+                self._report_conflict(entry, *await find(self._state, job.id))
             else:
-                self._changed(entry, await complete(self._state, job.id, record), stamp)
+                self._report_conflict(entry, await complete(self._state, job.id, record), stamp)
         return True
 
     async def _resolve(self, transaction, failed):
-        """Conditions failed. One changed key must not hold up its neighbours: it is settled, and the rest
-        written again."""
+        """Handles failed conditions: settles the jobs whose keys changed, and marks the others again.
+
+        One changed key must not hold up the other jobs of its transaction.
+        """
         if TERM in failed:
             record, stamp = await self._state.get(TERM)
             self._member.adopt(record, stamp)
@@ -329,10 +360,10 @@
         if not guarded:
             for entry in entries:
                 if set(entry.keys).isdisjoint(failed):
-                    self._again(entry)
+                    self._requeue(entry)
         for entry in entries:
             if not set(entry.keys).isdisjoint(failed):
-                self._changed(entry, *await find(self._state, entry.job.id))
+                self._report_conflict(entry, *await find(self._state, entry.job.id))
         for key in guarded:
             left = [entry for entry in entries if self._in_flight.get(entry.job) is entry]
             if key.startswith(PARTS):
@@ -344,5 +375,5 @@
 
     @staticmethod
     def _depends(entry, guard, key):
-        """Whether the job is created only under that guard, a (key, stamp) or None."""
+        """Returns whether the job is created only under `guard`, a (key, stamp) or None, with that key."""
         return not entry.job.stamp and guard is not None and guard[0] == key
--- a/roadhead/jobs/records.py
+++ b/roadhead/jobs/records.py
@@ -1,9 +1,9 @@
-"""Where a job's record lies, and the move of final ones to where a takeover does not read them.
+"""Where a job's record is stored, and the archive of final records, which a takeover does not read.
 
-An open job's record is `j/ID`. Its final record is first written there too, in one write, and
-later moved to `f/ID`; or both at once, if there are plenty of writes. A record only moves that way,
-so whoever does not find it under `j/` looks under `f/` next, never the other way round. A creation
-holds only while neither key exists.
+The record of an open job is stored under `j/ID`. Its final record is first written there too, in one write,
+and later moved to the archive under `f/ID`; if there are plenty of writes left, both happen in one
+transaction. A record only moves in that direction, so a reader that does not find it under `j/` looks under
+`f/` next, never the other way round. A job is created only while neither key exists.
 """
 
 import logging
@@ -16,14 +16,14 @@
 
 log = logging.getLogger("roadhead.records")
 
-KEPT_MOST = 2000  # moves remembered; what is beyond is found again by reading pages
-SPARE = 0.75  # of the burst of writes must be left
+MAX_QUEUED = 2000  # maximum length of the queue; further records are found again by reading pages
+SPARE = 0.75  # fraction of the burst of writes that must be left over
 
 
 async def find(state, job_id):
-    """(record, stamp) of a job, wherever it lies, or (None, 0). Raises Unavailable or Unsure.
+    """Returns (record, stamp) of a job, wherever it is stored, or (None, 0). Raises Unavailable or Unsure.
 
-    The stamp is that under `j/`; 0 for a record on the shelf, which nobody writes any more.
+    The stamp is that of the key under `j/`; it is 0 for an archived record, which is never written again.
     """
     record, stamp = await state.get(KEY + job_id)
     if record is None:
@@ -33,18 +33,20 @@
 
 
 async def complete(state, job_id, record):
-    """A record read, with what is stored apart from it. Raises Unavailable or Unsure, also for one of a
-    newer format, which is left alone."""
+    """Returns a stored record together with what is stored apart from it.
+
+    Raises Unavailable or Unsure. A record of a newer format also raises Unavailable, and is left alone.
+    """
     if record is not None and record.get("v", 0) > FORMAT:
-        raise Unavailable(f"a record of format {record['v']}")
+        raise Unavailable(f"record of job {job_id} has format {record['v']}, newer than {FORMAT}")
     return await whole(state, job_id, record)
 
 
 class Shelf:
-    """Moves final records in bounded pieces, with writes that the other duties leave over.
+    """Moves final records to the archive in small batches, with writes that other duties leave over.
 
-    Each move is one transaction under the stamp last known: whoever repeats it, or comes
-    second, changes nothing.
+    Each batch is one transaction under the stamps last known: repeating it, or coming second, changes
+    nothing.
     """
 
     def __init__(self, loop, state, member, counters):
@@ -53,12 +55,12 @@
         self._member = member
         self._count = counters.add
         self._queue = {}  # job id -> (record, stamp)
-        self._after = None  # key after which pages are to be read for more, None if there are none
+        self._after = None  # key after which pages are read for more records; None if there are none
         self._wake = Signal()
 
     def add(self, job_id, record, stamp):
-        """A final record that lies under `j/` with this stamp."""
-        if len(self._queue) >= KEPT_MOST:
+        """Queues a final record that is stored under `j/` with this stamp."""
+        if len(self._queue) >= MAX_QUEUED:
             if self._after is None:
                 self._after = ""
         elif stamp:
@@ -66,17 +68,17 @@
         self._wake.set()
 
     def found(self, job_id, record, stamp):
-        """As `add`, for a record that every controller sees: one of them moves it."""
+        """Queues a final record that every controller reads, on the one controller responsible for it."""
         if pick(self._member.term.members, job_id) == self._member.label:
             self.add(job_id, record, stamp)
 
     async def run(self):
-        """The duty."""
+        """Duty: moves the queued records."""
         writes = self._state.writes
         while True:
             if not self._queue and self._after is None:
                 await self._wake.wait()
-            # No more than what is always left to a controller: nobody else's part shrinks by it.
+            # No more than what every controller is always left: nobody else's share shrinks by it.
             most = max(1, self._state.batch // 4)
             await self._loop.sleep(2 * most / (IDLE_PART * writes.rate))
             if not self._member.joined or not writes.spare(SPARE):
@@ -89,7 +91,7 @@
                 elif self._after is not None:
                     await self._read_on()
             except (Unavailable, Unsure) as error:
-                log.debug("move: %r", error)
+                log.debug("final records were not moved to the archive: %r", error)
 
     async def _move(self, moves):
         conditions = [(KEY + job_id, stamp) for job_id, _record, stamp in moves]
@@ -100,10 +102,10 @@
             await self._state.multi(conditions, writes)
             self._count("records_shelved", len(moves))
         except Conflict as conflict:
-            # Those were moved by another controller, or without our hearing of it.
+            # The others were moved by another controller, or by a write of ours whose answer was lost.
             self._put_back([move for move in moves if KEY + move[0] not in conflict.failed])
         except Unsure:
-            # A comparison costs no writes: those that have moved are not moved again.
+            # A comparison costs no writes, and records that were moved are not moved again.
             await self._compare(moves, conditions)
         except Unavailable:
             self._put_back(moves)
--- a/roadhead/jobs/risk.py
+++ b/roadhead/jobs/risk.py
@@ -1,4 +1,4 @@
-"""What is done, late and at risk, class by class: what the morning reader looks at."""
+"""Counts done, late and endangered jobs of each class, for the operators' summary."""
 
 import logging
 import math
@@ -7,7 +7,10 @@
 
 
 class Risk:
-    """`aims` maps a class to its tightest time aim in seconds. Counts are of this controller."""
+    """Tracks the deadlines of the jobs of this controller.
+
+    `aims` maps a class to its tightest target in seconds, `classes` are those that are always listed.
+    """
 
     def __init__(self, aims, classes):
         self._aims = aims
@@ -17,14 +20,18 @@
         self._at_risk = set()
 
     def due_at(self, job):
-        """The time of day by which the job should be complete, or None: its deadline counts from its
-        submission, what is expected of its class from when nothing held it back any more."""
+        """Returns the time of day by which the job should be complete, or None.
+
+        A job's own deadline counts from its submission; its class's target counts from when its last
+        dependency was done.
+        """
         if job.spec.due_s is not None:
             return job.accepted_at + job.spec.due_s
         aim = self._aims.get(job.spec.klass)
         return job.released_at + aim if aim is not None else None
 
     def finished(self, job, now):
+        """Counts a job that is done, and whether it was late."""
         klass = job.spec.klass
         self._done[klass] = self._done.get(klass, 0) + 1
         due_at = self.due_at(job)
@@ -33,9 +40,9 @@
         self._at_risk.discard(job.id)
 
     def endangered(self, job, now):
-        """True if the job can't be complete in time any more, as far as its estimate tells.
+        """Returns whether, by its estimate, the job cannot be complete in time any more.
 
-        What still waits takes at least one more run of a task; what runs, about half of one.
+        A task that still waits takes at least one more run; running tasks take about half of one.
         """
         due_at = self.due_at(job)
         if job.state != "open" or (due_at is None and job.due_by == math.inf):
@@ -44,7 +51,7 @@
         return left < job.spec.estimate_s * (1.0 if job.free else 0.5)
 
     def rows_of(self, jobs, now):
-        """[class, open, at risk] of some jobs, without a note of what is new."""
+        """Returns [class, open, at risk] of the given jobs. Nothing is logged."""
         counts = {}
         for job in jobs:
             entry = counts.setdefault(job.spec.klass, [0, 0])
@@ -53,8 +60,10 @@
         return [[klass, *entry] for klass, entry in sorted(counts.items())]
 
     def rows(self, jobs, now, held_back=None):
-        """(class, open, done, late, at risk) rows; a risk is logged when it first appears. `held_back`:
-        class -> how many wait for other jobs, which are open as well."""
+        """Returns rows of (class, open, done, late, at risk), and logs each job that is newly at risk.
+
+        `held_back` maps a class to the number of its jobs that wait for dependencies, which are open as well.
+        """
         held_back = held_back or {}
         counts = {klass: [held_back.get(klass, 0), 0] for klass in (*self._classes, *held_back)}
         for job in jobs:
@@ -65,7 +74,7 @@
                 if job.id not in self._at_risk:
                     self._at_risk.add(job.id)
                     log.info(
-                        "at risk: %s of %s, %d of %d tasks done after %.0f s",
+                        "job %s of class %s is at risk: %d of %d tasks done after %.0f s",
                         job.id,
                         job.spec.klass,
                         job.done.count,
--- a/roadhead/jobs/task_reports.py
+++ b/roadhead/jobs/task_reports.py
@@ -1,4 +1,4 @@
-"""What homes tell of the attempts of tasks, and what becomes of each."""
+"""Handles what shard leaders report about task attempts, and decides what follows for each task."""
 
 import logging
 from typing import NamedTuple
@@ -9,13 +9,13 @@
 
 log = logging.getLogger("roadhead.jobs")
 
-LONGEST_PAUSE = 5  # workers' leases between two tries of a job that fails wherever it runs
-FIRST_PAUSE = 1 / 4
+MAX_PAUSE_LEASES = 5  # in workers' leases, between two tries of a job that fails wherever it runs
+FIRST_PAUSE_LEASES = 1 / 4
 PAUSE_GROWTH = 1.5
 
 
 class TaskReport(NamedTuple):
-    """One attempt of a task, as the home of its machine tells of it."""
+    """The state of one attempt of a task, as the shard leader of its machine reports it."""
 
     machine: str
     zone: str
@@ -32,12 +32,12 @@
 
     @property
     def completed(self):
-        """Whether it ended with its task done."""
+        """Whether the attempt has ended with its task done."""
         return self.exited and self.cause == "done"
 
 
 class TaskReports:
-    """Takes in what homes tell of the tasks of the jobs in a store (jobs/book.py)."""
+    """Applies the reports of shard leaders to the jobs of a store (jobs/book.py)."""
 
     def __init__(self, context, store):
         self._context = context
@@ -45,23 +45,25 @@
         self._store = store
 
     def on_free(self, frame):
-        """The attempt is surely nowhere."""
+        """Handles an attempt that is surely on no machine."""
         job = self._store.jobs.get(frame.job)
         if job is None:
             return
         binding = job.bound.get(frame.index)
         if binding is None or binding.attempt != frame.attempt:
             return
-        if binding.status == "exited" and job.state == "open":  # done, only not durable yet
+        # Its task is done, but that is not durable yet
+        if binding.status == "exited" and job.state == "open":
             return
         self._store.unbind(job, frame.index)
 
     def on_tasks(self, label, frame):
-        """A home's news of the tasks on one machine."""
+        """Handles a shard leader's report of the tasks on one machine."""
         for row in frame.rows:
             self._on_task(label, TaskReport(frame.machine, frame.zone, *row))
 
     def _on_task(self, label, report):
+        """Handles one attempt of a report; `label` is the shard leader that sent it."""
         job = self._store.jobs.get(report.job)
         if job is None:
             if report.job in self._store.finals:
@@ -80,7 +82,7 @@
 
     @staticmethod
     def _is_inherited(job, report):
-        """Whether this may be a task of an inherited job, found where the old owner had it started."""
+        """Returns whether this may be a task of an inherited job that the previous owner started."""
         if not job.unsynced or report.index >= job.spec.tasks or report.index in job.done:
             return False
         if report.exited:
@@ -88,6 +90,7 @@
         return job.state in ("open", "cancelled")
 
     def _bind_inherited(self, job, report):
+        """Binds the attempt of an inherited job on the machine that reports it."""
         if report.index in job.free:
             job.free.remove(report.index)
         binding = Binding(report.machine, report.zone, report.attempt, "", self._context.loop.now())
@@ -96,16 +99,17 @@
 
     @staticmethod
     def _completes(job, binding, report):
-        """Whether an attempt that is not the one bound tells that its task is done."""
+        """Returns whether an attempt other than the bound one shows that its task is done."""
         if not report.completed or job.state != "open" or report.index >= job.spec.tasks:
             return False
         return binding is not None or report.index not in job.done
 
     def _log_start(self, job, binding, report):
+        """Logs that the bound attempt has started to run."""
         if report.status != "running" or binding.status == "running" or not log.isEnabledFor(logging.DEBUG):
             return
         log.debug(
-            "runs %s/%d of %s after %.2f s, of which %.2f s on %s",
+            "task %s/%d of class %s runs %.2f s after submission, %.2f s of them on %s",
             job.id,
             report.index,
             job.spec.klass,
@@ -115,7 +119,7 @@
         )
 
     def _progress(self, label, job, binding, report):
-        """News of the attempt that is bound."""
+        """Handles a new state of the attempt that is bound."""
         store = self._store
         binding.status = report.status
         binding.zone = report.zone
@@ -135,11 +139,11 @@
         store.unbind(job, report.index)
 
     def _failed(self, job, machine):
-        """A job that fails everywhere is tried ever more slowly, on few machines at a time."""
+        """Handles a failed task. A job that fails everywhere is retried ever more slowly, on few machines."""
         context = self._context
         if job.failed(machine):
             log.info(
-                "job %s of %s fails wherever it runs: tried now and then until it is cancelled",
+                "job %s of class %s fails wherever it runs: it is retried now and then until it is cancelled",
                 job.id,
                 job.spec.klass,
             )
@@ -149,12 +153,13 @@
                 self._send(label, frames.JobFails(job.id))
         now = context.loop.now()
         if job.doubtful and job.not_before <= now:
-            pause_s = context.lease_s * min(LONGEST_PAUSE, FIRST_PAUSE * PAUSE_GROWTH**job.pauses)
+            pause_s = context.lease_s * min(MAX_PAUSE_LEASES, FIRST_PAUSE_LEASES * PAUSE_GROWTH**job.pauses)
             job.pauses += 1
             job.not_before = now + pause_s
             context.loop.call_later(pause_s, context.changed)
 
     def _done(self, job, index):
+        """Handles a task that is done: records it, and ends the job after its last one."""
         binding = job.bound.get(index)
         if job.spec.kind == "daemon":
             self._replica_ended(job, index, binding)
@@ -174,21 +179,22 @@
             self._store.recorder.mark(job, LATER)
 
     def _replica_ended(self, job, index, binding):
-        """A replica that ends is started again."""
+        """Frees the task of a daemon's replica that ended, so that it is started again."""
         if binding is not None and binding.status == "exited":
             self._store.forget(job.id, [(index, binding)])
             self._store.unbind(job, index)
 
     def _runs_after_all(self, job):
+        """Clears the doubt about a job after one of its tasks was done."""
         job.failed_on.clear()
         if job.doubtful:
-            log.info("job %s runs after all", job.id)
+            log.info("job %s is no longer suspected faulty: one of its tasks is done", job.id)
             job.doubtful, job.pauses, job.not_before = False, 0, 0.0
             self._store.version += 1
             self._context.changed()
 
     def _dismiss(self, label, report):
-        """An attempt that nobody needs."""
+        """Tells the shard leader that an attempt is not needed: to forget it, or to stop it if it runs."""
         key = (report.machine, report.job, report.index, report.attempt)
         if report.exited:
             self._send(label, frames.Forget([key]))
--- a/roadhead/jobs/transactions.py
+++ b/roadhead/jobs/transactions.py
@@ -1,4 +1,4 @@
-"""Transactions that write job records, and how many of them may be under way at once."""
+"""Transactions that write job records, and the pace at which they are sent."""
 
 from dataclasses import dataclass, field
 
@@ -7,9 +7,9 @@
 from roadhead.jobs.records import SPARE
 from roadhead.runtime.loop import Signal
 
-DROPS_KEPT = 1000
-DROPS_MOST = 2  # in a transaction
-LANES = 8  # transactions under way at once, with those whose outcome is being looked up
+MAX_PENDING_DELETES = 1000
+MAX_DELETES_PER_TRANSACTION = 2  # deletions in one transaction
+LANES = 8  # transactions under way at once, including those whose outcome is being looked up
 
 
 @dataclass(eq=False, slots=True)
@@ -21,45 +21,48 @@
     record: dict
     recorded: Ranges  # tasks that the record says are done, as it was sent
     state: str
-    again: int | None = None  # urgency with which the job was marked since, if it was
-    over: bool = False  # unmarked since: it need not be written again
-    shelved: bool = False  # the record goes to where final ones lie at once
+    again: int | None = None  # urgency of a mark that was set meanwhile
+    over: bool = False  # unmarked meanwhile: the record need not be written again
+    shelved: bool = False  # the record is moved to the archive by the same transaction
 
     @property
     def keys(self):
-        """Where the job's record may lie."""
+        """The keys under which the job's record may be stored."""
         return KEY + self.job.id, SHELF + self.job.id
 
     def is_stored_as(self, record):
-        """Whether that record is the one sent: nobody else writes an open one with this owner's name."""
+        """Returns whether that record is the one sent: no other writer names this owner in an open record."""
         return self.state == "open" and record == self.record
 
 
 @dataclass(eq=False, slots=True)
 class Transaction:
-    """What is sent to the state service: all of it takes effect, under one revision, or nothing."""
+    """Conditions and writes for the state service: all take effect under one revision, or none does."""
 
     entries: list[Entry] = field(default_factory=list)
     conditions: list[tuple[str, int]] = field(default_factory=list)
     writes: list[dict] = field(default_factory=list)
-    drops: list[str] = field(default_factory=list)
+    deletes: list[str] = field(default_factory=list)
 
     def require(self, condition):
-        """`condition`, a (key, stamp) or None, has to hold."""
+        """Adds a condition, a (key, stamp), unless it is None or there already."""
         if condition is not None and condition not in self.conditions:
             self.conditions.append(condition)
 
     def put(self, job_id, record, shelved):
-        """Writes the job's record, under `j/`, or from there to where final ones lie."""
+        """Writes the job's record under `j/`, or, if it is `shelved`, moves it from there to the archive."""
         if shelved:
             self.writes += [{"put": SHELF + job_id, "data": record}, {"drop": KEY + job_id}]
         else:
             self.writes.append({"put": KEY + job_id, "data": record})
 
     def may_shelve(self, job, left, state):
-        """Whether the job's final record goes to the shelf at once, two writes instead of one now and two
-        later: only while there are plenty, since users wait for the ends of other jobs. `left`: jobs that
-        may still be added to this transaction."""
+        """Returns whether the job's final record is moved to the archive at once.
+
+        That takes two writes now instead of one now and two later. It is done only while there are plenty of
+        writes, since users wait for the ends of other jobs. `left` is the number of jobs that may still be
+        added to this transaction.
+        """
         planned = len(self.writes) + left
         return (
             job.state == "done"
@@ -70,13 +73,16 @@
 
     @property
     def creates(self):
-        """Whether it creates a key."""
+        """Whether the transaction creates a key."""
         return any(not stamp for _key, stamp in self.conditions)
 
 
 class Drops:
-    """Keys that are no longer needed. They go along with records, a few at a time, and by themselves once
-    none was to be written for `progress_s`."""
+    """Keys that are no longer needed and wait to be deleted.
+
+    They are deleted along with writes of records, a few at a time, or by themselves once no record was
+    written for `progress_s` seconds.
+    """
 
     def __init__(self, loop, progress_s):
         self._loop = loop
@@ -88,36 +94,40 @@
         return len(self._keys)
 
     def add(self, key):
-        """The key is no longer needed."""
+        """Queues a key."""
         if not self._keys:
             self._waiting_since = self._loop.now()
-        if len(self._keys) < DROPS_KEPT and key not in self._keys:
+        if len(self._keys) < MAX_PENDING_DELETES and key not in self._keys:
             self._keys.append(key)
 
     def give_back(self, keys):
-        """They may not have been dropped."""
+        """Queues keys again that may not have been deleted."""
         for key in keys:
             self.add(key)
 
     def take(self, most):
-        """Up to so many keys, for a transaction."""
-        most = min(most, DROPS_MOST)
+        """Takes up to `most` keys for a transaction."""
+        most = min(most, MAX_DELETES_PER_TRANSACTION)
         taken, self._keys = self._keys[:most], self._keys[most:]
         return taken
 
     def due(self):
-        """Whether they have waited long enough to go by themselves."""
+        """Returns whether the keys have waited long enough to be deleted without a record."""
         return bool(self._keys) and self._loop.now() - self._waiting_since >= self._progress_s
 
 
 class Lanes:
-    """Paces transactions. As long as answers come in their usual time one is under way at a time, so that
-    what is marked meanwhile goes into one batch; an answer that is late no longer holds up the next."""
+    """Paces transactions.
+
+    While answers arrive in their usual time, one transaction is under way at a time, so that records marked
+    meanwhile go into one batch. An answer that is late does not hold up the next transaction. `answers`
+    estimates the usual time (state/latency.py).
+    """
 
     def __init__(self, loop, answers):
         self._loop = loop
-        self._answers = answers  # state.latency.AnswerTimes
-        self._under_way = {}  # routines, in the order in which they began, as a set
+        self._answers = answers  # a state.latency.AnswerTimes
+        self._under_way = {}  # routines in their order of start; an ordered set
         self._newest = None
         self._began_at = 0.0
         self._paused_until = 0.0
@@ -128,11 +138,11 @@
 
     async def turn(self):
         """Waits until the next transaction may begin."""
-        while (left := self._left()) != 0.0:
+        while (left := self._delay_s()) != 0.0:
             await self._ended.wait(self._loop, left)
 
-    def _left(self):
-        """Seconds until the next may begin if none ends; None: not before one ends."""
+    def _delay_s(self):
+        """Returns the seconds until the next transaction may begin, or None if one has to end first."""
         now = self._loop.now()
         if now < self._paused_until:
             return self._paused_until - now
@@ -143,7 +153,7 @@
         return max(0.0, self._began_at + self._answers.late_s - now)
 
     def pause(self, seconds):
-        """The state service executes nothing at present: the next transaction waits that long."""
+        """Delays the next transaction, because the state service executes nothing at present."""
         self._paused_until = self._loop.now() + seconds
 
     def begin(self, work):
@@ -158,6 +168,6 @@
         self._ended.set()
 
     def cancel(self):
-        """Nobody waits for their outcome any more."""
+        """Cancels all transactions under way; nobody waits for their outcome any more."""
         for routine in list(self._under_way):
             routine.cancel()
--- a/roadhead/jobs/write_queue.py
+++ b/roadhead/jobs/write_queue.py
@@ -1,4 +1,4 @@
-"""Jobs whose records are to be written, by urgency."""
+"""The jobs whose records are to be written, by urgency."""
 
 import heapq
 from itertools import count, islice
@@ -7,14 +7,18 @@
 
 
 class WriteQueue:
-    """A job marked LATER is due `progress_s` after its record was last written."""
+    """Jobs in the order in which their records are written.
+
+    A job marked LATER is due `progress_s` seconds after its record was last written.
+    """
 
     def __init__(self, loop, progress_s):
         self._loop = loop
         self._progress_s = progress_s
-        self._urgency = {}  # job -> how urgent it is
-        self._waiting = ({}, {})  # the urgent of them and those due soon, in order as sets
-        self._later = []  # heap of (when due, number, job) of the others; may name a job that is not
+        self._urgency = {}  # job -> urgency
+        self._waiting = ({}, {})  # jobs marked URGENT and jobs marked SOON, as ordered sets
+        # Heap of (due time, number, job) of jobs marked LATER; may hold jobs taken out since
+        self._later = []
         self._numbers = count()
 
     def __len__(self):
@@ -24,7 +28,7 @@
         return job in self._urgency
 
     def add(self, job, urgency):
-        """One that is in it already may only become more urgent."""
+        """Adds a job. One that is in the queue already can only become more urgent."""
         was = self._urgency.get(job, LATER + 1)
         if was <= urgency:
             return
@@ -37,7 +41,7 @@
             heapq.heappush(self._later, (self._due_at(job), next(self._numbers), job))
 
     def take(self, job):
-        """Takes the job out, if it is in; returns how urgent it was."""
+        """Removes a job if it is in the queue. Returns its urgency, LATER if it was not."""
         urgency = self._urgency.pop(job, LATER)
         if urgency < LATER:
             del self._waiting[urgency][job]
@@ -45,15 +49,15 @@
 
     @property
     def urgent(self):
-        """Those marked URGENT, in order."""
+        """The jobs marked URGENT, in order."""
         return self._waiting[URGENT]
 
     def soon(self, most):
-        """Up to `most` of those marked SOON."""
+        """Returns up to `most` of the jobs marked SOON."""
         return islice(self._waiting[SOON], most)
 
     def progress(self, most):
-        """Up to `most` jobs of which no end is to be told, those due longest first."""
+        """Returns up to `most` jobs marked LATER that are due, the longest overdue first."""
         now = self._loop.now()
         due = {}
         while self._later and self._later[0][0] <= now and len(due) < most:
@@ -62,7 +66,7 @@
             if self._urgency.get(job) == LATER and entry[0] == self._due_at(job):
                 due.setdefault(job, entry)
         for entry in due.values():
-            heapq.heappush(self._later, entry)  # it stays due until it is written
+            heapq.heappush(self._later, entry)  # a job stays due until it is written
         return list(due)
 
     def _due_at(self, job):
--- a/roadhead/pipelines/__init__.py
+++ b/roadhead/pipelines/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs that need others: what each waits for, what cancels it, and what it inherits."""
+"""Jobs that depend on others: what each waits for, what cancels it, and the priority it inherits."""
--- a/roadhead/pipelines/line.py
+++ b/roadhead/pipelines/line.py
@@ -1,8 +1,9 @@
-"""What an owner does for pipelines: holds jobs back, lets them go, ends them with those they need.
+"""Dependency handling of a job owner: holds jobs back, releases them, cancels them with their ancestors.
 
-No sockets here: frames from other controllers come in as calls, frames to them go out through
-`send(label, frame)`. A start needs every upstream job durably done: that is known from a record of our
-own, a record read, or an owner's word, given after its write and true for ever.
+This module opens no sockets. Frames from other controllers arrive as method calls, and frames to them leave
+through `send(label, frame)`. A job starts only once every upstream job is durably done. That is known from a
+record written here, from a record read, or from the message of another owner, which is sent after its write
+and stays true.
 """
 
 import logging
@@ -17,16 +18,30 @@
 
 log = logging.getLogger("roadhead.pipelines")
 
-ROWS_MOST = 1000  # of a frame
-WISHES_MOST = 2000  # said again in a beat
-LOOKS = 6  # records read side by side
-SPARE = 0.3  # of the burst of requests must be left for a look
-LATE_SHOWN = 5
-KEPT_LEASES = 4  # for which a wish counts that is not said again
+MAX_ROWS_PER_FRAME = 1000  # rows in one frame
+MAX_REPEATS_PER_HEARTBEAT = 2000  # waiting jobs whose priorities are repeated in one heartbeat
+MAX_CONCURRENT_READS = 6  # records read at the same time
+SPARE = 0.3  # fraction of the burst of requests that must be left for reading a record
+MAX_LATE_SHOWN = 5
+PRIORITY_KEPT_LEASES = 4  # workers' leases after which a priority that is not repeated is forgotten
 
 
 class Line:
-    """`times`: class -> factors of the deadline that its aims name; `find(id)` reads a record."""
+    """The jobs owned here that wait for others, and the priorities that jobs inherit from their dependents.
+
+    Args:
+        loop: the event loop.
+        member: this controller's membership.
+        state: the state service's client.
+        book: the jobs owned here (jobs/book.py).
+        send: `send(label, frame)` sends a frame to a controller.
+        times: class -> factors of a job's deadline that the class's targets name.
+        time_of_day: returns seconds since the epoch.
+        lease_s: length of the workers' lease in seconds.
+        beat_s: seconds between two heartbeats.
+        find: `find(id)` reads (record or None, stamp) of a job.
+        counters: the process's event counters.
+    """
 
     def __init__(self, loop, member, state, book, send, times, time_of_day, lease_s, beat_s, find, counters):
         self._loop = loop
@@ -34,40 +49,44 @@
         self._state = state
         self._book = book
         self._send = send
-        self._times = times
+        self._deadline_factors = times
         self._time_of_day = time_of_day
         self._lease_s = lease_s
         self._beat_s = beat_s
         self._find = find
         self._count = counters.add
         self.waits = Waits()
-        self._wishes = Wishes(KEPT_LEASES * lease_s)
-        self._over = deque()  # (job id, final record) whose consequences are still to be drawn
-        self._drawing = False
-        self._ends = []  # rows to be told
-        self._new_wishes = {}  # waiting jobs whose wishes are to be told now, in order as a set
-        self._again = deque()  # waiting jobs in the order in which their wishes are said again
+        self._priorities = Wishes(PRIORITY_KEPT_LEASES * lease_s)
+        self._unapplied_ends = deque()  # (job id, final record) whose consequences are still to be applied
+        self._applying_ends = False
+        self._unannounced_ends = []  # rows to be announced
+        self._unsent_priorities = {}  # waiting jobs whose priorities are to be sent now; an ordered set
+        self._repeat_order = deque()  # waiting jobs in the order in which their priorities are repeated
         self._flushing = False
-        self._soon = {}  # upstream ids to be looked at, in order as a set
-        self._later = {}  # others -> when they are looked at, the next first: word of an end may be lost
+        self._read_now = {}  # upstream ids to be read now; an ordered set
+        # Other upstream ids -> when they are read, the next first: the message of an end may be lost.
+        self._read_at = {}
         self._wake = Signal()
 
-    # What waits
+    # Waiting jobs
 
     def enter(self, job):
-        """A job whose record stands, from now on in our care: whether it is held back, or over."""
+        """Takes over responsibility for a job whose record is stored.
+
+        Returns whether it is held back or over; False if it may start now.
+        """
         if not job.waits:
             return False
-        outcome = self.waits.add(job, self._ended)
+        outcome = self.waits.add(job, self._final_state)
         if outcome is None:
             for name in self.waits.left(job):
                 if job.foreign:
-                    self._soon[name] = True
+                    self._read_now[name] = True
                 else:
-                    self._look_later(name)
-            self._inherit(job.id)
-            self._wish(job)
-            self._again.append(job)
+                    self._schedule_read(name)
+            self._update_priority(job.id)
+            self._queue_priorities(job)
+            self._repeat_order.append(job)
             self._wake.set()
             return True
         if outcome == CANCELLED:
@@ -77,24 +96,28 @@
         job.release(max(job.accepted_at, *ends) if all(ends) else self._time_of_day())
         return False
 
-    def _ended(self, name):
+    def _final_state(self, name):
+        """Returns the final state of a job known to be over, or None."""
         record = self._book.finals.get(name)
         return record and record["s"]
 
     def over(self, job_id, record):
-        """A job is over, by a durable record or by derivation: draws all that follows from it, one after
-        the other, however long a chain is."""
-        self._over.append((job_id, record))
-        if self._drawing:
+        """Handles a job that is over, by a durable record or because an ancestor is cancelled.
+
+        All consequences are applied one after the other, so that a chain of any length needs no recursion.
+        """
+        self._unapplied_ends.append((job_id, record))
+        if self._applying_ends:
             return
-        self._drawing = True
+        self._applying_ends = True
         try:
-            while self._over:
-                self._draw(*self._over.popleft())
+            while self._unapplied_ends:
+                self._apply_end(*self._unapplied_ends.popleft())
         finally:
-            self._drawing = False
+            self._applying_ends = False
 
-    def _draw(self, job_id, record):
+    def _apply_end(self, job_id, record):
+        """Applies the consequences of one job's end to the jobs that wait for it."""
         free, cancelled = self.waits.over(job_id, record["s"])
         for job in free:
             self._count("jobs_released")
@@ -102,18 +125,18 @@
             self._book.released(job)
         for job in cancelled:
             self._cancel(job)
-        for name in self._wishes.over(job_id):
-            self._inherit(name)
-        self._wishes.forget(job_id)
+        for name in self._priorities.over(job_id):
+            self._update_priority(name)
+        self._priorities.forget(job_id)
 
     def _cancel(self, job):
-        """It needs a cancelled job, so it is cancelled; nothing of it was ever started."""
+        """Cancels a job because one of its dependencies is cancelled. None of its tasks was ever started."""
         self._count("jobs_cancelled_with_others")
         job.state = CANCELLED
         self._book.end(job)
 
     def cancelled_above(self, spec):
-        """A job just accepted has a cancelled ancestor, by the records."""
+        """Cancels a job just accepted, because by the records it has a cancelled ancestor."""
         job = self.waits.jobs.get(spec.id)
         if job is not None:
             self.waits.remove(job)
@@ -122,167 +145,188 @@
             self._book.remember(spec.id, {"s": CANCELLED, "n": spec.tasks, "d": 0, "above": True})
 
     def on_cancelled(self, jobs):
-        """These jobs are durably cancelled, by the word of another or by the watch."""
+        """Handles durable cancellations, announced by another controller or read from the state service."""
         for job_id in jobs:
             if job_id in self.waits.needed:
                 self.over(job_id, {"s": CANCELLED})
 
     def on_roster(self):
-        """Others may be the heirs of what was never written as ours; the scan that follows tells."""
+        """Forgets inherited waiting jobs, because the owners have changed.
+
+        Others may now inherit the jobs whose records never named this owner. The scan that follows finds
+        those that fall to this controller.
+        """
         for job in list(self.waits.jobs.values()):
             if job.foreign:
                 self.waits.remove(job)
                 self._book.forget_waiting(job)
         self.look_again()
 
-    # Word of what is over
+    # Announcements of jobs that are over
 
     def told(self, job_id, record):
-        """A final record is durable, or follows from one that is: the others are to know."""
+        """Announces a final record that is durable, or follows from a durable one, to the others."""
         if self._member.gate.open:
-            self._ends.append(
+            self._unannounced_ends.append(
                 (job_id, record["n"], record["d"], record.get("e", 0.0), record["s"] == CANCELLED)
             )
             self._flush_soon()
 
     def on_over(self, frame):
+        """Handles another controller's announcement of jobs that are over."""
         for job_id, tasks, done, ended, cancelled in frame.rows:
             if job_id not in self._book.finals:
                 record = {"s": CANCELLED if cancelled else "done", "n": tasks, "d": done}
-                # Of cancellations only those with another job are told in this way.
+                # Only cancellations caused by another job are announced in this way.
                 more = {**({"e": ended} if ended else {}), **({"above": True} if cancelled else {})}
                 self._book.remember(job_id, {**record, **more})
 
     def _flush_soon(self):
+        """Schedules the sending of announcements and priorities for the end of this turn of the loop."""
         if not self._flushing:
             self._flushing = True
             self._loop.call_soon(self._flush)
 
     def _flush(self):
+        """Sends the announcements and priorities that were queued."""
         self._flushing = False
-        ends, self._ends = self._ends, []
-        for at in range(0, len(ends), ROWS_MOST):
-            self._tell(frames.JobsOver(ends[at : at + ROWS_MOST]), True)
-        wishing, self._new_wishes = self._new_wishes, {}
-        self._tell_wishes([job for job in wishing if job.id in self.waits.jobs])
-
-    def _tell(self, frame, others):
+        ends, self._unannounced_ends = self._unannounced_ends, []
+        for at in range(0, len(ends), MAX_ROWS_PER_FRAME):
+            self._broadcast(frames.JobsOver(ends[at : at + MAX_ROWS_PER_FRAME]), True)
+        waiting_jobs, self._unsent_priorities = self._unsent_priorities, {}
+        self._send_priorities([job for job in waiting_jobs if job.id in self.waits.jobs])
+
+    def _broadcast(self, frame, others):
+        """Sends a frame to all members; `others` leaves out this controller."""
         term = self._member.term
         for label in term.members if term is not None else ():
             if not others or label != self._member.label:
                 self._send(label, frame)
 
-    # What is inherited
+    # Inherited priorities
 
-    def _wish(self, job):
-        self._new_wishes[job] = True
+    def _queue_priorities(self, job):
+        """Queues the priorities that a waiting job passes to its dependencies."""
+        self._unsent_priorities[job] = True
         self._flush_soon()
 
-    def _tell_wishes(self, jobs):
+    def _send_priorities(self, jobs):
+        """Sends the priorities that these waiting jobs pass to their dependencies."""
         if not self._member.gate.open:
             return
         rows = []
         for job in jobs:
-            wanted = wanted_of(job, self._times.get(job.spec.klass))
+            wanted = wanted_of(job, self._deadline_factors.get(job.spec.klass))
             own = job.spec.due_s is not None and job.accepted_at + job.spec.due_s <= job.due_by
-            end = job.id if own else self._wishes.end(job.id) or job.id
+            end = job.id if own else self._priorities.end(job.id) or job.id
             rows += [(name, job.id, *wanted, end) for name in self.waits.left(job)]
-        for at in range(0, len(rows), ROWS_MOST):
-            self._tell(frames.Wishes(rows[at : at + ROWS_MOST]), False)
+        for at in range(0, len(rows), MAX_ROWS_PER_FRAME):
+            self._broadcast(frames.Wishes(rows[at : at + MAX_ROWS_PER_FRAME]), False)
 
     def on_wishes(self, frame):
+        """Handles the priorities that another owner's waiting jobs pass to jobs owned here."""
         now = self._loop.now()
         for name, by, *wanted in frame.rows:
-            if self._book.knows(name) and self._wishes.wish(name, by, *wanted, now):
-                self._inherit(name)
+            if self._book.knows(name) and self._priorities.wish(name, by, *wanted, now):
+                self._update_priority(name)
 
-    def _inherit(self, job_id):
-        """What is wanted of the job has changed, or may have been known before the job was."""
+    def _update_priority(self, job_id):
+        """Applies the inherited priority of a job, which has changed or was known before the job was."""
         waiting = self.waits.jobs.get(job_id)
         job = waiting or self._book.jobs.get(job_id)
         if job is None:
             return
-        rank, due_by, last_by = self._wishes.of(job_id)
+        rank, due_by, last_by = self._priorities.of(job_id)
         rank = min(rank, RANK[job.spec.urgency])
         if (rank, due_by, last_by) == (job.rank, job.due_by, job.last_by):
             return
         job.due_by, job.last_by, job.aims = due_by, last_by, None
         if waiting is not None:
             job.lift(rank)
-            self._wish(job)
+            self._queue_priorities(job)
         else:
             self._book.lift(job, rank)
 
     def at_risk(self, endangered):
-        """Lines for operators: pipelines late or at risk, by their last job, and the stage that is.
-        `endangered(job)`: by its estimate."""
+        """Returns lines for operators about pipelines that are late or at risk.
+
+        Each names the last job of the pipeline and the stage that is late. `endangered(job)` tells by a job's
+        estimate whether it is at risk.
+        """
         late = [
             (job.due_by, name)
-            for name in self._wishes.wanted()
+            for name in self._priorities.wanted()
             if (job := self._book.jobs.get(name)) is not None and endangered(job)
         ]
         late.sort()
         now = self._time_of_day()
         lines = [
-            f"the pipeline of {self._wishes.end(name)}: {name} should be done "
+            f"the pipeline of {self._priorities.end(name)}: {name} should be done "
             f"{'in' if due_by >= now else 'since'} {abs(due_by - now):.0f} s"
-            for due_by, name in late[:LATE_SHOWN]
+            for due_by, name in late[:MAX_LATE_SHOWN]
         ]
-        if len(late) > LATE_SHOWN:
-            lines.append(f"{len(late) - LATE_SHOWN} more jobs that others need are late or at risk")
+        if len(late) > MAX_LATE_SHOWN:
+            lines.append(f"{len(late) - MAX_LATE_SHOWN} more jobs that others need are late or at risk")
         return lines
 
-    # Time
+    # Periodic work
 
     def tick(self):
-        """With each beat: wishes are said again, those not repeated are forgotten."""
-        for name in self._wishes.expire(self._loop.now()):
-            self._inherit(name)
-        some = []
-        for _ in range(min(len(self._again), WISHES_MOST)):
-            job = self._again.popleft()
+        """Runs with each heartbeat: repeats some priorities, and forgets those that were not repeated."""
+        for name in self._priorities.expire(self._loop.now()):
+            self._update_priority(name)
+        repeated = []
+        for _ in range(min(len(self._repeat_order), MAX_REPEATS_PER_HEARTBEAT)):
+            job = self._repeat_order.popleft()
             if self.waits.jobs.get(job.id) is job:
-                some.append(job)
-                self._again.append(job)
-        if some:
-            self._tell_wishes(some)
+                repeated.append(job)
+                self._repeat_order.append(job)
+        if repeated:
+            self._send_priorities(repeated)
 
     def look_again(self):
-        """Word may have been lost: a link is new, or an owner has ended."""
-        self._soon.update(dict.fromkeys(name for name in self.waits.needed if not self._book.knows(name)))
+        """Reads all upstream jobs owned elsewhere again, as messages may have been lost.
+
+        That is possible when a link is new or an owner has ended.
+        """
+        self._read_now.update(dict.fromkeys(name for name in self.waits.needed if not self._book.knows(name)))
         self._wake.set()
 
     async def look(self):
-        """Duty: upstream jobs owned elsewhere are read, at once where nobody has told of them yet, else
-        now and then, so that lost word costs seconds."""
+        """Duty: reads the records of upstream jobs that are owned elsewhere.
+
+        A job of which no message has come yet is read at once, the others now and then, so that a lost
+        message delays a job by seconds only.
+        """
         while True:
-            batch = self._due()
+            batch = self._due_reads()
             if not batch:
                 await self._wake.wait(self._loop, self._beat_s)
                 continue
             while not self._state.requests.spare(SPARE):
                 await self._loop.sleep(self._beat_s / 8)
-            reads = [self._loop.spawn(self._look(name), "look") for name in batch]
+            reads = [self._loop.spawn(self._read_upstream(name), "look") for name in batch]
             for routine in reads:
                 await routine.done
 
-    def _due(self):
+    def _due_reads(self):
+        """Returns the jobs to be read now, and schedules their next read."""
         batch, now = [], self._loop.now()
-        while self._soon and len(batch) < LOOKS:
-            name = next(iter(self._soon))
-            del self._soon[name]
+        while self._read_now and len(batch) < MAX_CONCURRENT_READS:
+            name = next(iter(self._read_now))
+            del self._read_now[name]
             batch.append(name)
-        while self._later and len(batch) < LOOKS:
-            name = next(iter(self._later))
-            if self._later[name] > now:
+        while self._read_at and len(batch) < MAX_CONCURRENT_READS:
+            name = next(iter(self._read_at))
+            if self._read_at[name] > now:
                 break
-            del self._later[name]
+            del self._read_at[name]
             batch.append(name)
         wanted = []
         for name in batch:
             if name not in self.waits.needed:
                 continue
-            self._look_later(name)
+            self._schedule_read(name)
             if self._book.knows(name):
                 self._not_done(name)
             else:
@@ -290,19 +334,21 @@
         return wanted
 
     def _not_done(self, name):
-        """A job is not done: nobody can have started those that need it."""
+        """Notes that a job is not done: nobody can have started those that depend on it."""
         for job in self.waits.needed.get(name, ()):
             self._book.never_started(job)
 
-    def _look_later(self, name):
-        self._later.pop(name, None)
-        self._later[name] = self._loop.now() + self._lease_s
+    def _schedule_read(self, name):
+        """Schedules the next read of an upstream job."""
+        self._read_at.pop(name, None)
+        self._read_at[name] = self._loop.now() + self._lease_s
 
-    async def _look(self, name):
+    async def _read_upstream(self, name):
+        """Reads the record of an upstream job and applies it."""
         try:
             record, _stamp = await self._find(name)
         except (Unavailable, Unsure) as error:
-            log.debug("look at %s: %r", name, error)
+            log.debug("upstream job %s could not be read: %r", name, error)
             return
         if record is not None and record["s"] != "open":
             self._book.remember(name, record)
--- a/roadhead/pipelines/parts.py
+++ b/roadhead/pipelines/parts.py
@@ -1,8 +1,8 @@
-"""Lists of upstream jobs too long for a record: parts under keys of their own, written before the head.
+"""Stores dependency lists that are too long for a record, as parts under keys of their own.
 
-`u/ID/NONCE/NNNN` holds a part; the job's record names the nonce and how many there are. A nonce belongs to
-one try to create the job, so that two tries never mix; parts that no open record names are left over, and
-are collected later by whoever comes by.
+`u/ID/NONCE/NNNN` holds a part. The parts are written before the job's record, which names the nonce and their
+number. A nonce belongs to one attempt to create the job, so that the parts of two attempts never mix. Parts
+that no open record names are left over, and one controller deletes them later.
 """
 
 import logging
@@ -15,12 +15,17 @@
 log = logging.getLogger("roadhead.parts")
 
 PARTS = "u/"
-TXN_BYTES = 48 * 1024  # of a transaction of 64 KiB
-LEFT_LEASES = 10  # no creation takes as long: what no record names by then is left over
+MAX_PART_BYTES_PER_TRANSACTION = 48 * 1024  # bytes of parts in one transaction, of which 64 KiB are allowed
+# In workers' leases. No creation takes that long, so parts that are older and that no record names are left
+# over.
+LEFT_OVER_AGE_LEASES = 10
 
 
 def split(names, largest, at):
-    """Values of at most `largest` bytes as JSON that hold the names in order; `at`: time of day."""
+    """Returns values of at most `largest` bytes as JSON that hold the names in order.
+
+    `at` is the time of day that is stored with them.
+    """
     values, size = [], largest
     for name in names:
         size += len(name) + 4
@@ -32,23 +37,24 @@
 
 
 def key(job_id, nonce, number):
+    """Returns the key of a part."""
     return f"{PARTS}{job_id}/{nonce}/{number:04d}"
 
 
 async def whole(state, job_id, record):
-    """The record with its list of upstream jobs put together. Raises Unavailable or Unsure."""
+    """Returns the record with its dependency list put together. Raises Unavailable or Unsure."""
     if record is None or "up" not in record:
         return record
     nonce, count = record["up"]
     items, _revision = await state.list(f"{PARTS}{job_id}/{nonce}/")
     if len(items) != count:
-        raise Unavailable(f"{len(items)} of {count} parts of {job_id}")
+        raise Unavailable(f"dependency list of job {job_id} has {len(items)} parts, expected {count}")
     names = [name for _key, value, _stamp in items for name in value["ids"]]
     return {**record, "spec": {**record["spec"], "upstream": names}}
 
 
 class Parts:
-    """Writes parts, and collects those left over."""
+    """Writes the parts of dependency lists, and deletes those left over."""
 
     def __init__(self, loop, state, member, time_of_day, lease_s):
         self._loop = loop
@@ -59,21 +65,22 @@
         self._after = ""
 
     async def write(self, job_id, names, until):
-        """((nonce, count), the condition under which alone the head may be written), once all are; None if
-        that did not come about by then.
+        """Writes the parts of a job's dependency list.
 
-        The head may be written very late, by a transaction that nobody waits for any more: by then the
-        parts may have been collected, the first of them first.
+        Returns ((nonce, count), the condition under which alone the job's record may be written), or None if
+        the parts could not be written by `until`, a time on the loop's clock. The record needs the condition
+        because a transaction that nobody waits for any more may write it very late, when the parts may have
+        been deleted, the first of them first.
         """
         nonce = secrets.token_hex(4)
         largest = self._state.limits.value_bytes
         values = split(names, largest, self._time_of_day())
         at, first = 0, 0
         while at < len(values):
-            most = max(1, min(self._state.batch, TXN_BYTES // largest))
+            max_parts = max(1, min(self._state.batch, MAX_PART_BYTES_PER_TRANSACTION // largest))
             writes = [
                 {"put": key(job_id, nonce, number), "data": values[number]}
-                for number in range(at, min(at + most, len(values)))
+                for number in range(at, min(at + max_parts, len(values)))
             ]
             try:
                 stamp = await self._state.multi([], writes)
@@ -81,40 +88,41 @@
                 at += len(writes)
             except TooLarge:
                 return None
-            except (Unavailable, Unsure) as error:  # the same values under the same keys: again
-                log.debug("parts of %s: %r", job_id, error)
+            except (Unavailable, Unsure) as error:  # the same values are written again under the same keys
+                log.debug("dependency list of job %s was not written, trying again: %r", job_id, error)
                 await self._loop.sleep(self._lease_s / 48)
             if self._loop.now() > until:
                 return None
         return (nonce, len(values)), (key(job_id, nonce, 0), first)
 
     async def collect(self):
-        """Duty: one controller looks through all parts now and then."""
+        """Duty: one of the controllers goes through all parts now and then."""
         while True:
             await self._loop.sleep(2 * self._lease_s)
             member = self._member
             if not member.joined or pick(member.term.members, "parts") != member.label:
                 continue
             try:
-                await self._collect_some()
+                await self._collect_page()
             except (Unavailable, Unsure, Conflict) as error:
-                log.debug("collecting parts: %r", error)
+                log.debug("left-over parts of dependency lists were not deleted: %r", error)
 
-    async def _collect_some(self):
+    async def _collect_page(self):
+        """Reads one page of parts and deletes those left over."""
         items, more, _revision = await self._state.page(PARTS, self._after, 100)
         self._after = items[-1][0] if more else ""
-        old = self._time_of_day() - LEFT_LEASES * self._lease_s
-        heads, left = {}, []
+        oldest_kept_at = self._time_of_day() - LEFT_OVER_AGE_LEASES * self._lease_s
+        current_nonces, left_over = {}, []
         for name, value, stamp in items:
-            if value["at"] > old:
+            if value["at"] > oldest_kept_at:
                 continue
             job_id, nonce, _number = name[len(PARTS) :].split("/")
-            if job_id not in heads:
+            if job_id not in current_nonces:
                 record, _stamp = await self._state.get(KEY + job_id)
-                heads[job_id] = record["up"][0] if record is not None and "up" in record else None
-            if heads[job_id] != nonce:
-                left.append((name, stamp))
-        most = max(1, self._state.batch // 2)
-        for at in range(0, len(left), most):
-            some = left[at : at + most]
-            await self._state.multi(some, [{"drop": name} for name, _stamp in some])
+                current_nonces[job_id] = record["up"][0] if record is not None and "up" in record else None
+            if current_nonces[job_id] != nonce:
+                left_over.append((name, stamp))
+        max_parts = max(1, self._state.batch // 2)
+        for at in range(0, len(left_over), max_parts):
+            chunk = left_over[at : at + max_parts]
+            await self._state.multi(chunk, [{"drop": name} for name, _stamp in chunk])
--- a/roadhead/pipelines/waits.py
+++ b/roadhead/pipelines/waits.py
@@ -1,24 +1,30 @@
-"""Which jobs owned here wait for which. Decisions alone: no sockets, no clock.
+"""The index of which jobs owned here wait for which others. Pure decisions, without sockets or clock.
 
-A job that waits is in no queue and no account: nothing that goes over what may run ever meets it.
+A waiting job is in no queue and in no account, so code that goes through startable jobs never meets it.
 """
 
 DONE, CANCELLED = "done", "cancelled"
 
 
 class Waits:
-    """`needed` maps each upstream id that is not known to be over to the jobs that wait for it."""
+    """Waiting jobs and their dependencies.
+
+    `needed` maps each upstream id that is not known to be over to the jobs that wait for it.
+    """
 
     def __init__(self):
         self.jobs = {}  # id -> Job
         self.needed = {}  # upstream id -> {job: True}
-        self.by_class = {}  # class -> how many of it wait
-        self.by_team = {}  # team -> how many of its
-        self._left = {}  # job -> upstream ids not known to be done
+        self.by_class = {}  # class -> number of its waiting jobs
+        self.by_team = {}  # team -> number of its waiting jobs
+        self._remaining = {}  # job -> upstream ids not known to be done
 
     def add(self, job, ended):
-        """The job waits from now on, unless all it needs is over. `ended(id)`: DONE, CANCELLED, or None
-        if that is not known. Returns DONE if it may start, CANCELLED, or None while it waits."""
+        """Adds a job that waits, unless all of its dependencies are over.
+
+        `ended(id)` returns DONE, CANCELLED, or None if the job is not known to be over. Returns DONE if the
+        added job may start, CANCELLED if a dependency is cancelled, and None while it waits.
+        """
         left = {}
         for name in job.spec.upstream:
             state = ended(name)
@@ -28,23 +34,24 @@
                 left[name] = True
         if not left:
             return DONE
-        self.jobs[job.id], self._left[job] = job, left
+        self.jobs[job.id], self._remaining[job] = job, left
         for name in left:
             self.needed.setdefault(name, {})[job] = True
         self._count(job, 1)
         return None
 
     def _count(self, job, by):
+        """Adds `by` to the counts of the job's class and team."""
         for counts, name in ((self.by_class, job.spec.klass), (self.by_team, job.spec.team)):
             counts[name] = counts.get(name, 0) + by
             if not counts[name]:
                 del counts[name]
 
     def remove(self, job):
-        """The job waits no more here; whether it did."""
+        """Removes a job. Returns whether it was waiting."""
         if self.jobs.pop(job.id, None) is None:
             return False
-        for name in self._left.pop(job):
+        for name in self._remaining.pop(job):
             waiting = self.needed[name]
             del waiting[job]
             if not waiting:
@@ -53,12 +60,14 @@
         return True
 
     def left(self, job):
-        """Upstream ids that the job still waits for."""
-        return list(self._left.get(job, ()))
+        """Returns the upstream ids that the job still waits for."""
+        return list(self._remaining.get(job, ()))
 
     def over(self, name, state):
-        """A job is durably over: ([jobs that may start], [jobs that are cancelled with it]). Those that
-        wait for the cancelled ones are for the caller to name in turn."""
+        """Handles the durable end of a job. Returns ([jobs that may start], [jobs cancelled with it]).
+
+        The caller has to report the cancelled ones in turn, for the jobs that wait for them.
+        """
         waiting = self.needed.get(name)
         if waiting is None:
             return [], []
@@ -70,7 +79,7 @@
         del self.needed[name]
         free = []
         for job in waiting:
-            left = self._left[job]
+            left = self._remaining[job]
             del left[name]
             if not left:
                 free.append(job)
--- a/roadhead/pipelines/wishes.py
+++ b/roadhead/pipelines/wishes.py
@@ -1,82 +1,91 @@
-"""What a job inherits from those that need it: their urgency, and the time by which it must be done.
+"""The priority that a job inherits from those that depend on it: urgency, and when it must be done.
 
-Owners tell one another; such word is a hint, which may be late or lost. Each wish is said again now and
-then, and forgotten if it is not, so that a descendant that is over or cancelled gives nothing any more.
+Owners send these priorities to one another. Such a message is a hint, which may be late or lost. It is
+repeated now and then and forgotten if it is not, so that a dependent job that is over or cancelled has no
+more influence.
 """
 
 import math
 
-NONE = (99, math.inf, math.inf)  # nobody wants anything: any urgency comes before
+NONE = (99, math.inf, math.inf)  # no priority is passed: any urgency ranks higher
 
 
 class Wishes:
-    """Wishes on jobs known here, by who wants what. Times are times of day; `kept_s`: for which one
-    counts that is not said again."""
+    """The priorities passed to jobs owned here, by target job and by the job that passes them.
+
+    All deadlines are times of day in seconds. A priority that is not repeated is forgotten after `kept_s`
+    seconds.
+    """
 
     def __init__(self, kept_s):
         self._kept_s = kept_s
-        self._on = {}  # job id -> {wanting job id: (rank, due_by, last_by, when, last job of the pipeline)}
-        self._by = {}  # wanting job id -> {job id: True}
+        # Target job id -> {passing job id: (rank, due_by, last_by, received at, last job of the pipeline)}.
+        self._by_target = {}
+        self._targets_by_source = {}  # passing job id -> {target job id: True}
 
     def wish(self, job, by, rank, due_by, last_by, end, now):
-        """Whether that changes what the job inherits. `end`: the last job, whose deadline it is."""
+        """Notes the priority that job `by` passes to `job`. Returns whether the inherited priority changes.
+
+        `end` is the last job of the pipeline, whose deadline it is.
+        """
         before = self.of(job)
-        self._on.setdefault(job, {})[by] = (rank, due_by, last_by, now, end)
-        self._by.setdefault(by, {})[job] = True
+        self._by_target.setdefault(job, {})[by] = (rank, due_by, last_by, now, end)
+        self._targets_by_source.setdefault(by, {})[job] = True
         return self.of(job) != before
 
     def of(self, job):
-        """(rank, due_by, last_by) wanted of the job by any: the most urgent of each."""
-        wishes = self._on.get(job)
+        """Returns (rank, due_by, last_by) that a job inherits: the most urgent of each."""
+        wishes = self._by_target.get(job)
         if not wishes:
             return NONE
-        rank, due_by, last_by, _when, _end = zip(*wishes.values(), strict=True)
+        rank, due_by, last_by, _received_at, _last_job = zip(*wishes.values(), strict=True)
         return min(rank), min(due_by), min(last_by)
 
     def over(self, by):
-        """The job wants nothing any more. Returns the jobs of which it did."""
-        jobs = list(self._by.get(by, ()))
+        """Forgets all that job `by` passes to others. Returns the jobs it passed a priority to."""
+        jobs = list(self._targets_by_source.get(by, ()))
         for job in jobs:
-            self._drop(job, by)
+            self._remove(job, by)
         return jobs
 
-    def _drop(self, job, by):
-        for index, key, other in (self._on, job, by), (self._by, by, job):
+    def _remove(self, job, by):
+        """Forgets the priority that job `by` passes to `job`."""
+        for index, key, other in (self._by_target, job, by), (self._targets_by_source, by, job):
             index[key].pop(other)
             if not index[key]:
                 del index[key]
 
     def forget(self, job):
-        """Nothing is wanted of a job that is over, or owned elsewhere."""
-        for by in list(self._on.get(job, ())):
-            self._drop(job, by)
+        """Forgets all priorities passed to a job that is over, or owned elsewhere."""
+        for by in list(self._by_target.get(job, ())):
+            self._remove(job, by)
 
     def expire(self, now):
-        """Jobs of which a wish was not repeated in time."""
+        """Forgets priorities that were not repeated in time. Returns the jobs they were passed to."""
         changed = []
-        for job, wishes in list(self._on.items()):
-            old = [by for by, wish in wishes.items() if now - wish[3] > self._kept_s]
-            for by in old:
-                self._drop(job, by)
-            if old:
+        for job, wishes in list(self._by_target.items()):
+            expired = [by for by, wish in wishes.items() if now - wish[3] > self._kept_s]
+            for by in expired:
+                self._remove(job, by)
+            if expired:
                 changed.append(job)
         return changed
 
     def end(self, job):
-        """The last job of the pipeline by whose deadline the job is due first, or None."""
-        wishes = self._on.get(job)
+        """Returns the last job of the pipeline whose deadline is the earliest for this job, or None."""
+        wishes = self._by_target.get(job)
         return min(wishes.values(), key=lambda wish: wish[1])[4] if wishes else None
 
     def wanted(self):
-        """Ids of the jobs of which something is wanted."""
-        return list(self._on)
+        """Returns the ids of the jobs to which a priority is passed."""
+        return list(self._by_target)
 
 
 def wanted_of(job, times):
-    """(rank, due_by, last_by): what a job that waits wants of those that it needs.
+    """Returns (rank, due_by, last_by), the priority that a waiting job passes to its dependencies.
 
-    They must be done when its own tasks have to start: its deadline, or that of a job that needs it in
-    turn, less its own run. `times`: factors of its deadline that its class's aims name.
+    They must be done when its own tasks have to start: at its deadline, or at that of a job that depends on
+    it in turn, less its own run time. `times` are the factors of its deadline that its class's targets name.
     """
     run_s = job.spec.estimate_s
     due_by, last_by = job.due_by, job.last_by
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -364,7 +364,7 @@
         self.desk._node = self
         for number in range(jobs):
             job = Job(self.spec(number), ("here", 1), 0.0)
-            self.book._begin(job)
+            self.book._add_owned(job)
         self.sharing = Sharing(self.desk.teams, self.book.accounts, lambda: (400.0, 0.0, 1600.0), 1e6, 1e7)
 
     def spec(self, number):
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -85,7 +85,7 @@
 
 def started_before_written(patch):
     """A job's tasks start before its record is written."""
-    real_create, real_created = Book.create, Book._created
+    real_create, real_created = Book.create, Book._on_created
 
     def created(self, job):
         if job.id not in self.jobs:
@@ -93,11 +93,11 @@
 
     def create(self, spec):
         pending = real_create(self, spec)
-        if spec.id in self._new:
-            self._created(self._new[spec.id])
+        if spec.id in self._being_created:
+            self._on_created(self._being_created[spec.id])
         return pending
 
-    patch.setattr(Book, "_created", created)
+    patch.setattr(Book, "_on_created", created)
     patch.setattr(Book, "create", create)
 
 
--- a/tests/test_limits_and_failover.py
+++ b/tests/test_limits_and_failover.py
@@ -158,13 +158,13 @@
 
 def reads_upstream_late(patch, seconds):
     """What inherited jobs need is read that much later, as from a slow state service."""
-    real = Line._look
+    real = Line._read_upstream
 
     async def look(self, name):
         await self._loop.sleep(seconds)
         await real(self, name)
 
-    patch.setattr(Line, "_look", look)
+    patch.setattr(Line, "_read_upstream", look)
 
 
 def nobody_asks(patch, begin, end):
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -245,10 +245,10 @@
 
 def own_creation_is_not_recognized(patch):
     """5: whoever finds its own record after a lost answer takes it for somebody else's."""
-    real = Book._conflict
+    real = Book._on_conflict
 
     def conflict(self, job, record, stamp):
-        pending = self._settled(job)
+        pending = self._finish_creation(job)
         if pending is None:
             return real(self, job, record, stamp)
         self.recorder.unmark(job)
@@ -256,7 +256,7 @@
         return None
 
     patch.setattr(Entry, "is_stored_as", lambda _self, _record: False)
-    patch.setattr(Book, "_conflict", conflict)
+    patch.setattr(Book, "_on_conflict", conflict)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -271,9 +271,9 @@
     def over(self, name, state):
         if state == DONE:
             for job in self.needed.get(name, ()):
-                for other in list(self._left[job]):
+                for other in list(self._remaining[job]):
                     if other != name:
-                        del self._left[job][other]
+                        del self._remaining[job][other]
                         del self.needed[other][job]
         return real(self, name, state)
 
@@ -297,7 +297,7 @@
 
     def released(self, job):
         job.unsynced = set()
-        self._begin(job)
+        self._add_owned(job)
 
     patch.setattr(Book, "released", released)
 
@@ -314,16 +314,18 @@
 
 def only_the_next_above(patch):
     """Only the jobs that it names are looked at, not those before them."""
-    real = Ancestry._note
+    real = Ancestry._cache_record
     patch.setattr(
-        Ancestry, "_note", lambda self, name, record, stamp: real(self, name, {**record, "rel": 1.0}, stamp)
+        Ancestry,
+        "_cache_record",
+        lambda self, name, record, stamp: real(self, name, {**record, "rel": 1.0}, stamp),
     )
     patch.setattr(Line, "_cancel", lambda self, job: None)
 
 
 def facts_never_old(patch):
     """What was found of an ancestor once is taken for true after a cancellation."""
-    patch.setattr(Ancestry, "_fact", lambda self, name, _stamp: self._facts.get(name))
+    patch.setattr(Ancestry, "_cached", lambda self, name, _stamp: self._cache.get(name))
     patch.setattr(Line, "_cancel", lambda self, job: None)
 
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -15,10 +15,10 @@
     """The write that takes a job over counts as the outcome of the creation of the same id."""
 
     def settled(book, job):
-        book._new.pop(job.id, None)
-        return book._creating.pop(job.id, None)
+        book._being_created.pop(job.id, None)
+        return book._creations.pop(job.id, None)
 
-    patch.setattr(Book, "_settled", settled)
+    patch.setattr(Book, "_finish_creation", settled)
 
 
 def outcomes_twice(patch):
@@ -26,7 +26,7 @@
 
     One found to exist while its own write is under way is settled again by that, which takes the job of its
     id out of the store."""
-    real = Book._conflict
+    real = Book._on_conflict
 
     async def settle(recorder, job):
         try:
@@ -37,13 +37,13 @@
             recorder._on_conflict(job, record, stamp)
 
     def conflict(book, job, record, stamp):
-        if not job.stamp and book._new.get(job.id) is not job:
-            book._leave(job)
+        if not job.stamp and book._being_created.get(job.id) is not job:
+            book._remove_owned(job)
             return
         real(book, job, record, stamp)
 
     patch.setattr(Recorder, "_settle", settle)
-    patch.setattr(Book, "_conflict", conflict)
+    patch.setattr(Book, "_on_conflict", conflict)
 
 
 def test_word_of_a_cancellation_reaches_a_job_that_is_submitted_again():
@@ -51,7 +51,7 @@
     world = World("controllers 1\nat 1 submit legs=2 runS=100\nuntil 20").run()
     book = world.nodes[0].book
     job = book.jobs["req-000001"]
-    book._new[job.id] = Job(job.spec, job.owner, job.accepted_at)
+    book._being_created[job.id] = Job(job.spec, job.owner, job.accepted_at)
     book.cancelled(job.id)
     assert job.state == "cancelled" and job.id in book._cancelled_early
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -258,7 +258,7 @@
     book.adopt([(job.record(1 << 15)[0], 5)])
     heir = book.jobs[job.id]
     assert heir.adopting and [frame.jobs for frame in sent] == [[job.id]] * 2  # a home each
-    book._written(heir, heir.done, "open")
+    book._on_written(heir, heir.done, "open")
     node.loop.run_until(0.1)
     assert not heir.adopting and [frame.jobs for frame in sent] == [[job.id]] * 4
     book.mine(job.id)
