--- a/roadhead/jobs/book.py
+++ b/roadhead/jobs/book.py
@@ -19,8 +19,8 @@
 
 log = logging.getLogger("roadhead.jobs")
 
-CANCEL = "c/x/"
-MAX_FINALS = 20000
+CANCEL = "c/x/"  # prefix of cancellation marks
+MAX_FINALS = 20000  # final records kept in memory
 LARGEST_PART = 10  # one in LARGEST_PART jobs of a class counts among its largest
 # One in LARGER_PART counts among the larger: more than a quarter, since other controllers own the rest
 LARGER_PART = 2.5
@@ -398,14 +398,14 @@
                 job.foreign = True
                 if not self.line.enter(job):
                     adopted.append(job)
-                    self._take_over(job)
+                    self._start_takeover(job)
                 elif record["o"][0] and self.quota.limited(job.spec.team) and job.id in self.line.waits.jobs:
                     self._perhaps_started[job] = True
                     self.accounts.unsure(job)
         if adopted:
             self.reconciliation.ask_all(adopted)
 
-    def _take_over(self, job):
+    def _start_takeover(self, job):
         """Starts the takeover of a job: it is owned here, but none of its tasks starts before the write."""
         job.adopting = self._adopting[job] = True
         self._add_owned(job)
@@ -448,7 +448,7 @@
             self._add_owned(job)
             return
         self._perhaps_started.pop(job, None)  # it counts as being taken over from now on
-        self._take_over(job)
+        self._start_takeover(job)
         if not self._newly_released:
             self._loop.call_soon(self._sync_released)
         self._newly_released.append(job)
--- a/roadhead/jobs/job.py
+++ b/roadhead/jobs/job.py
@@ -8,7 +8,7 @@
 from roadhead.wire import messages
 from roadhead.wire.messages import URGENCIES, JobSpec
 
-KEY = "j/"
+KEY = "j/"  # prefix of open records, and of final ones until they are moved
 SHELF = "f/"  # prefix of final records that were moved to the archive
 RANK = {name: rank for rank, name in enumerate(URGENCIES)}
 FINAL = ("done", "cancelled")
@@ -107,10 +107,10 @@
         self.adopting = False
         self.failed_on = set()  # machines on which tasks failed since the last one that was done
         self.doubtful = False  # it seems to fail wherever it runs, so it is only tried now and then
-        self.pauses = 0
-        self.not_before = 0.0
-        self.saved_count = self.done.count
-        self.written_at = 0.0
+        self.pauses = 0  # retries so far while it is in doubt; each pause is longer
+        self.not_before = 0.0  # on the loop's clock; none of its tasks starts earlier
+        self.saved_count = self.done.count  # number of done tasks in the stored record
+        self.written_at = 0.0  # when its record was last stored, on the loop's clock
         self.aims = None  # the dispatcher's deadlines for it, in seconds after acceptance
         self.place = 0.0  # sort key in the dispatcher's queue
         # Where teams share by guarantee and weight: `sure` is the number of tasks within the guarantee,
