--- a/roadhead/jobs/book.py
+++ b/roadhead/jobs/book.py
@@ -203,11 +203,11 @@
             self._on_taken_over(job)
             self._changed()
         if state in FINAL:
-            told = self._upstream_cancelled.pop(job.id, None) is not None
-            self._on_ended(job, job.final(state), told)
+            announced = self._upstream_cancelled.pop(job.id, None) is not None
+            self._on_ended(job, job.final(state), announced)
             return
-        over = [i for i, b in job.bound.items() if b.status == "exited" and i in recorded]
-        self.forget(job.id, [(index, job.bound.pop(index)) for index in over])
+        ended = [i for i, b in job.bound.items() if b.status == "exited" and i in recorded]
+        self.forget(job.id, [(index, job.bound.pop(index)) for index in ended])
 
     def _on_created(self, job):
         """Starts to own a job just created, or hands it to its quota leader or to the dependency tracking."""
@@ -609,9 +609,9 @@
         if record is not None:
             self.remember(job_id, record)
         job.free.clear()
-        over = [(index, binding) for index, binding in job.bound.items() if binding.status == "exited"]
-        self.forget(job_id, over)
-        for index, _binding in over:
+        ended = [(index, binding) for index, binding in job.bound.items() if binding.status == "exited"]
+        self.forget(job_id, ended)
+        for index, _binding in ended:
             del job.bound[index]
         for index, binding in list(job.bound.items()):
             self.send_home(binding, frames.Stop(binding.machine, job_id, index, binding.attempt, 0.0))
--- a/roadhead/jobs/newness.py
+++ b/roadhead/jobs/newness.py
@@ -91,7 +91,7 @@
 
     async def _compare(self, batch):
         """Raises Conflict unless none of these jobs has a record."""
-        conditions = [(place + job.id, 0) for job in batch for place in (KEY, SHELF)]
+        conditions = [(prefix + job.id, 0) for job in batch for prefix in (KEY, SHELF)]
         for left in reversed(range(MAX_ATTEMPTS)):
             try:
                 return await self._state.unchanged(conditions)
--- a/roadhead/jobs/quota.py
+++ b/roadhead/jobs/quota.py
@@ -36,22 +36,24 @@
         """Updates which partitions are led here, and since which term."""
         label = self._member.label
         same = old is not None and old.incarnation(label) == new.incarnation(label)
-        held = {place for place, leader in enumerate(old.wardens) if leader == label} if same else set()
+        held = (
+            {partition for partition, leader in enumerate(old.wardens) if leader == label} if same else set()
+        )
         # In a term that was not seen here, a partition may have gone to a controller that started tasks and
         # ended.
         skipped = old is None or new.number > old.number + 1
         if skipped:
             held -= self.closing
         self.held_since = {
-            place: self.held_since.get(place, new.number) if place in held else new.number
-            for place, leader in enumerate(new.wardens)
+            partition: self.held_since.get(partition, new.number) if partition in held else new.number
+            for partition, leader in enumerate(new.wardens)
             if leader == label
         }
-        for place in self.held_since.keys() - held:
-            before = old.wardens[place] if old is not None and place < len(old.wardens) else None
+        for partition in self.held_since.keys() - held:
+            before = old.wardens[partition] if old is not None and partition < len(old.wardens) else None
             # A leader that hands a partition over has no jobs or tasks of it left.
             if skipped or before is None or old.incarnation(before) != new.incarnation(before):
-                self.unread.add(place)
+                self.unread.add(partition)
         self.unread &= self.held_since.keys()
 
     def inherits_limits(self):
@@ -64,8 +66,8 @@
         `gone_at` is when all tasks of the jobs found cancelled are gone, on the loop's clock; None if there
         were none.
         """
-        for place in self.unread:
-            self._gone_at[place] = LONG_AGO if gone_at is None else gone_at
+        for partition in self.unread:
+            self._gone_at[partition] = LONG_AGO if gone_at is None else gone_at
         self.unread.clear()
         self.scanned = number
 
@@ -94,16 +96,20 @@
         for jobs without a limit.
         """
         busy = {self._partition(group) for group in groups if group is not None}
-        return [place for place in self.held_since if place not in busy and self.knows_partition(place)]
+        return [
+            partition
+            for partition in self.held_since
+            if partition not in busy and self.knows_partition(partition)
+        ]
 
-    def knows_partition(self, place):
+    def knows_partition(self, partition):
         """Returns whether all jobs of a partition are known, and tasks of cancelled ones are gone."""
-        since = self.held_since.get(place)
+        since = self.held_since.get(partition)
         return (
             since is not None
             and self.scanned >= since
-            and place not in self.unread
-            and self._loop.now() >= self._gone_at.get(place, LONG_AGO)
+            and partition not in self.unread
+            and self._loop.now() >= self._gone_at.get(partition, LONG_AGO)
         )
 
     def knows_all(self, group):
@@ -142,7 +148,7 @@
             account = self._accounts.get(name)
             held = account.held if account is not None else NOTHING
             rooms[name] = tuple(
-                most - held[place] if most else UNLIMITED for place, most in enumerate(limits)
+                most - held[index] if most else UNLIMITED for index, most in enumerate(limits)
             )
         return rooms
 
