--- a/roadhead/jobs/newness.py
+++ b/roadhead/jobs/creation_check.py
@@ -3,9 +3,9 @@
 import logging
 from itertools import islice
 
-from roadhead.jobs.job import KEY, SHELF
+from roadhead.jobs.job import ARCHIVE, KEY
 from roadhead.runtime.loop import Signal
-from roadhead.state.client import Conflict, Unavailable, Unsure
+from roadhead.state.client import ConflictError, UnavailableError, UnknownOutcomeError
 
 log = logging.getLogger("roadhead.newness")
 
@@ -16,7 +16,7 @@
 RETRY_DELAY_DIVISOR = 16
 
 
-class Newness:
+class CreationChecker:
     """Compares waiting creations with the stored records.
 
     Args:
@@ -24,8 +24,8 @@
         state: the state service's client.
         progress_s: seconds between two writes of a job's progress.
         settle: `settle(job)` is awaited for each creation of which there is a record already.
-        on_new: called when creations were found to have no record (`fresh`), or when nobody can tell
-            (`unsure`).
+        on_new: called when creations were found to have no record (`confirmed_new`), or when nobody can tell
+            (`newness_unknown`).
     """
 
     def __init__(self, loop, state, progress_s, settle, on_new):
@@ -36,12 +36,12 @@
         self._on_new = on_new
         self._unchecked = Signal()
         self._to_check = {}  # an ordered set
-        self.fresh = {}  # waiting creations found to be new; an ordered set
-        self.unsure = False  # whether nobody can tell at present which creations are new
+        self.confirmed_new = {}  # waiting creations found to be new; an ordered set
+        self.newness_unknown = False  # whether nobody can tell at present which creations are new
 
     def add(self, job):
         """Adds a creation that has to wait."""
-        if job not in self.fresh:
+        if job not in self.confirmed_new:
             self._to_check[job] = True
             self._unchecked.set()
 
@@ -52,7 +52,7 @@
     def remove(self, job):
         """Removes a creation that does not wait any more."""
         self._to_check.pop(job, None)
-        self.fresh.pop(job, None)
+        self.confirmed_new.pop(job, None)
 
     async def run(self):
         """Duty: checks the waiting creations.
@@ -71,30 +71,30 @@
                 continue
             try:
                 await self._compare(batch)
-            except Conflict as error:
-                self.unsure = False
+            except ConflictError as error:
+                self.newness_unknown = False
                 for job in batch:
-                    if not {KEY + job.id, SHELF + job.id}.isdisjoint(error.failed):
+                    if not {KEY + job.id, ARCHIVE + job.id}.isdisjoint(error.failed):
                         await self._settle(job)
-            except (Unavailable, Unsure) as error:
+            except (UnavailableError, UnknownOutcomeError) as error:
                 log.debug("comparison of %d waiting creations got no result: %r", len(batch), error)
-                self.unsure = True
+                self.newness_unknown = True
                 self._on_new()
                 await self._loop.sleep(self._progress_s / RETRY_DELAY_DIVISOR)
             else:
-                self.unsure = False
+                self.newness_unknown = False
                 for job in batch:
                     if self._to_check.pop(job, False):
-                        self.fresh[job] = True
+                        self.confirmed_new[job] = True
                 self._on_new()
             self._unchecked.set()
 
     async def _compare(self, batch):
         """Raises Conflict unless none of these jobs has a record."""
-        conditions = [(prefix + job.id, 0) for job in batch for prefix in (KEY, SHELF)]
+        conditions = [(prefix + job.id, 0) for job in batch for prefix in (KEY, ARCHIVE)]
         for left in reversed(range(MAX_ATTEMPTS)):
             try:
-                return await self._state.unchanged(conditions)
-            except Unsure:
+                return await self._state.check_conditions(conditions)
+            except UnknownOutcomeError:
                 if not left:
                     raise
--- a/roadhead/jobs/risk.py
+++ b/roadhead/jobs/deadline_risk.py
@@ -6,7 +6,7 @@
 log = logging.getLogger("roadhead.risk")
 
 
-class Risk:
+class DeadlineTracker:
     """Tracks the deadlines of the jobs of this controller.
 
     `aims` maps a class to its tightest target in seconds, `classes` are those that are always listed.
@@ -48,7 +48,7 @@
         if job.state != "open" or (due_at is None and job.due_by == math.inf):
             return False
         left = min(math.inf if due_at is None else due_at, job.due_by) - now
-        return left < job.spec.estimate_s * (1.0 if job.free else 0.5)
+        return left < job.spec.estimate_s * (1.0 if job.unstarted else 0.5)
 
     def rows_of(self, jobs, now):
         """Returns [class, open, at risk] of the given jobs. Nothing is logged."""
--- a/roadhead/jobs/job.py
+++ b/roadhead/jobs/job.py
@@ -4,16 +4,16 @@
 
 import msgspec
 
-from roadhead.jobs.ranges import Pool, Ranges
+from roadhead.jobs.ranges import Ranges, TaskPool
 from roadhead.wire import messages
 from roadhead.wire.messages import URGENCIES, JobSpec
 
 KEY = "j/"  # prefix of open records, and of final ones until they are moved
-SHELF = "f/"  # prefix of final records that were moved to the archive
+ARCHIVE = "f/"  # prefix of final records that were moved to the archive
 RANK = {name: rank for rank, name in enumerate(URGENCIES)}
 FINAL = ("done", "cancelled")
 # Format of the records written here, announced with the membership. A job may wait for others only once all
-# members have announced it (membership/gate.py).
+# members have announced it (membership/format_gate.py).
 FORMAT = 4
 NOBODY = ("", 0)  # owner of a job that its quota leader has yet to take over
 # JSON bytes of a record besides the description, with room for some ranges of done tasks.
@@ -38,47 +38,47 @@
 class Job:
     """An open job: its description, its record's state, and the state of each of its tasks.
 
-    `free` holds the tasks that may be started, `bound` those that may be on a machine. `unsynced` names the
-    shard leaders that have yet to report the tasks of an inherited job; nothing of the job starts before they
-    have (safety rule 3 in docs/design.md).
+    `unstarted` holds the tasks that may be started, `bound` those that may be on a machine.
+    `unreconciled_leaders` names the shard leaders that have yet to report the tasks of an inherited job;
+    nothing of the job starts before they have (safety rule 3 in docs/design.md).
     """
 
     __slots__ = (
         "accepted_at",
-        "adopting",
-        "aims",
+        "borrowed_position",
         "bound",
         "built",
+        "creation_condition",
         "done",
-        "doubtful",
         "due_by",
         "ended_at",
         "failed_on",
-        "foreign",
-        "free",
-        "gathered",
-        "gathering_since",
-        "head_if",
+        "first_task_leads",
         "id",
         "last_by",
-        "later",
-        "leads",
         "not_before",
+        "owned_by_predecessor",
         "owner",
-        "part",
         "parts",
-        "pauses",
-        "place",
+        "placement_key",
+        "queue_position",
         "rank",
         "released_at",
-        "room_shape",
+        "reserved_tasks",
+        "reserving_since",
+        "retry_pauses",
+        "round_allowance",
         "saved_count",
         "shape",
         "spec",
         "stamp",
         "state",
-        "sure",
-        "unsynced",
+        "suspected_faulty",
+        "taking_over",
+        "targets",
+        "unreconciled_leaders",
+        "unstarted",
+        "within_guarantee",
         "written_at",
     )
 
@@ -90,60 +90,63 @@
         self.stamp = stamp
         self.state = "open"
         self.done = Ranges(done)
-        self.free = Pool(self.done, spec.tasks)
+        self.unstarted = TaskPool(self.done, spec.tasks)
         self.bound = {}
         self.rank = RANK[spec.urgency]  # or that of a more urgent job that depends on this one
         # Times of day by which it must be complete for the jobs that depend on it: for the earliest of their
-        # deadlines, and for the latest (pipelines/wishes.py).
+        # deadlines, and for the latest (pipelines/inherited_priorities.py).
         self.due_by = self.last_by = math.inf
         # Time of day at which its last dependency was done; None while one is not.
         self.released_at = released_at if spec.upstream or released_at else accepted_at
-        self.parts = None  # (nonce, count) if the dependency list is stored apart (pipelines/parts.py)
-        self.head_if = None  # (key, stamp) of the list's first part; the job is created only while it holds
+        # (nonce, count) if the dependency list is stored apart (pipelines/upstream_parts.py)
+        self.parts = None
+        # (key, stamp) of the list's first part; the job is created only while it holds
+        self.creation_condition = None
         self.ended_at = 0.0  # time of day at which its last task was seen done
-        self.foreign = False  # being taken over: its record still names the previous owner
-        self.unsynced = {""} if inherited else set()
+        self.owned_by_predecessor = False  # being taken over: its record still names the previous owner
+        self.unreconciled_leaders = {""} if inherited else set()
         # No record names its new owner yet, so nothing of it starts.
-        self.adopting = False
+        self.taking_over = False
         self.failed_on = set()  # machines on which tasks failed since the last one that was done
-        self.doubtful = False  # it seems to fail wherever it runs, so it is only tried now and then
-        self.pauses = 0  # retries so far while it is in doubt; each pause is longer
+        self.suspected_faulty = False  # it seems to fail wherever it runs, so it is only tried now and then
+        self.retry_pauses = 0  # retries so far while it is in doubt; each pause is longer
         self.not_before = 0.0  # on the loop's clock; none of its tasks starts earlier
         self.saved_count = self.done.count  # number of done tasks in the stored record
         self.written_at = 0.0  # when its record was last stored, on the loop's clock
-        self.aims = None  # the dispatcher's deadlines for it, in seconds after acceptance
-        self.place = 0.0  # sort key in the dispatcher's queue
-        # Where teams share by guarantee and weight: `sure` is the number of tasks within the guarantee,
-        # `part` how many tasks may start before the next round. If `leads` is set, only the first task that
-        # starts has the position `place`, and the others have `later`.
-        self.sure = self.part = 0
-        self.leads, self.later = False, 0.0
+        self.targets = None  # the dispatcher's deadlines for it, in seconds after acceptance
+        self.queue_position = 0.0  # sort key in the dispatcher's queue
+        # Where teams share by guarantee and weight: `within_guarantee` is the number of tasks within the
+        # guarantee, `round_allowance` how many tasks may start before the next round. If `first_task_leads`
+        # is set, only the first task that starts has the position `queue_position`, and the others have
+        # `borrowed_position`.
+        self.within_guarantee = self.round_allowance = 0
+        self.first_task_leads, self.borrowed_position = False, 0.0
         # For a gang (dispatch/gangs.py): the number of tasks for which room is reserved, and since when.
-        self.gathered, self.gathering_since = 0, 0.0
+        self.reserved_tasks, self.reserving_since = 0, 0.0
         needs = (spec.cpus, spec.gpus, spec.memory, spec.spot, spec.zone or "", tuple(spec.types or ()))
         # Jobs of one room shape fit on the same machines. A job whose tasks depend on each other's zones has
         # a room shape of its own.
         alone = spec.one_zone or spec.spread or self.gang
-        self.room_shape = (*needs, spec.team, spec.id if alone else "")
+        self.placement_key = (*needs, spec.team, spec.id if alone else "")
         self.shape = (self.rank, *needs, spec.klass)
         self.built = None  # (description as stored, its size as JSON), once computed
 
-    def lift(self, rank):
+    def raise_urgency(self, rank):
         """Raises the urgency to that of a job that depends on this one."""
         self.rank = rank
         self.shape = (rank, *self.shape[1:])
 
     @property
-    def waits(self):
+    def is_waiting(self):
         """Whether some of its dependencies may not be done yet."""
         return self.released_at is None
 
     def release(self, at):
         """Notes that all dependencies are durably done since `at`, a time of day in seconds."""
-        self.released_at, self.aims, self.built = at, None, None
+        self.released_at, self.targets, self.built = at, None, None
 
     @property
-    def need(self):
+    def resources(self):
         """What one task takes: (cpus, gpus, memory)."""
         spec = self.spec
         return spec.cpus, spec.gpus, spec.memory
@@ -159,9 +162,11 @@
         A gang starts all of its tasks or none. A job in doubt runs only a few at a time.
         """
         if self.gang:
-            return len(self.free) if not self.bound else 0
+            return len(self.unstarted) if not self.bound else 0
         return (
-            len(self.free) if not self.doubtful else min(len(self.free), MAX_DOUBTFUL_TASKS - len(self.bound))
+            len(self.unstarted)
+            if not self.suspected_faulty
+            else min(len(self.unstarted), MAX_DOUBTFUL_TASKS - len(self.bound))
         )
 
     def failed(self, machine):
@@ -171,11 +176,11 @@
         once it has failed on at least two machines, and on no fewer than those that still run it.
         """
         self.failed_on.add(machine)
-        if self.doubtful or len(self.failed_on) < 2:
+        if self.suspected_faulty or len(self.failed_on) < 2:
             return False
         running_on = {b.machine for b in self.bound.values() if b.status == "running"}
-        self.doubtful = len(self.failed_on) >= len(running_on - self.failed_on)
-        return self.doubtful
+        self.suspected_faulty = len(self.failed_on) >= len(running_on - self.failed_on)
+        return self.suspected_faulty
 
     def status(self):
         """Returns the state that users see: "pending", "running", "done" or "cancelled"."""
@@ -208,7 +213,7 @@
             return self.final(self.state), self.done
         if self.built is None:
             spec = msgspec.to_builtins(self.spec)
-            if not self.waits or self.parts:
+            if not self.is_waiting or self.parts:
                 spec.pop("upstream", None)  # stored apart, or no longer waited for
             self.built = spec, len(msgspec.json.encode(spec))
         spec, size = self.built
@@ -219,7 +224,7 @@
             "spec": spec,
             "done": self.done.flat(),
         }
-        if self.waits:
+        if self.is_waiting:
             record["v"] = FORMAT  # a version that does not know `upstream` would start the job too early
             if self.parts:
                 record["up"] = list(self.parts)
@@ -262,17 +267,17 @@
     return job
 
 
-def before(record):
+def awaited_ids(record):
     """Returns the ids of the dependencies that an open record still waits for; empty for other records."""
     return record["spec"].get("upstream", ()) if record["s"] == "open" and "rel" not in record else ()
 
 
-def shorten(record):
+def for_polls(record):
     """Returns the parts of a record that polls need; they can be kept as long as its stamp is unchanged."""
     if record["s"] != "open":
         return record
     spec, done = record["spec"], record["done"]
-    waits = {"upstream": names} if (names := before(record)) else {}
+    waits = {"upstream": names} if (names := awaited_ids(record)) else {}
     return {
         "s": "open",
         "o": record["o"],
@@ -281,18 +286,18 @@
     }
 
 
-def closing(record):
+def cancelled_record(record):
     """Returns the final record of an open job that is cancelled."""
     done = record["done"]
     return {"s": "cancelled", "n": record["spec"]["legs"], "d": sum(done[1::2]) - sum(done[0::2])}
 
 
-def closing_above(record):
+def cancelled_with_ancestor_record(record):
     """Returns the final record of an open job that is cancelled because one of its dependencies is.
 
     None of its tasks was started.
     """
-    return {**closing(record), "above": True}
+    return {**cancelled_record(record), "above": True}
 
 
 def answer(record, job_id):
--- a/roadhead/jobs/book.py
+++ b/roadhead/jobs/job_store.py
@@ -27,7 +27,7 @@
 MAX_SIZES_PER_CLASS = 2000  # sizes kept per class, by which a job is compared
 
 
-class Book:
+class JobStore:
     """Owns jobs from their creation or takeover until their final record is durable.
 
     Args:
@@ -44,8 +44,9 @@
         teams: the teams and their limits.
         on_orphan: called with a job accepted here that its quota leader has to take over.
         shelve: `shelve(job_id, final_record, stamp)` queues a final record for the move to the archive.
-        line_of: builds the dependency tracking (`pipelines/line.py`) for this object.
-        parts: stores dependency lists that are too long for one record (`pipelines/parts.py`).
+        make_dependency_queue: builds the dependency tracking (`pipelines/dependency_queue.py`) for this
+        object. parts: stores dependency lists that are too long for one record
+        (`pipelines/upstream_parts.py`).
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         teams,
         on_orphan,
         shelve,
-        line_of,
+        make_dependency_queue,
         parts,
     ):
         self._loop = loop
@@ -79,17 +80,17 @@
         self._shelve = shelve
         self.jobs = {}  # open jobs owned here, by id
         self.started_at = {}  # class -> when a task of it was last started, on the loop's clock
-        self.seen = {}  # class -> number of its jobs ever owned here
+        self.jobs_seen = {}  # class -> number of its jobs ever owned here
         # Inherited jobs that wait for their dependencies here, whose previous owner may have started them; an
         # ordered set.
         self._perhaps_started = {}
         # Taken over in this turn of the loop; the shard leaders are asked again for them.
         self._newly_owned = []
-        self.arrived = []  # jobs added since the dispatcher last read the queue
-        self.served = {}  # ("class", "team" or "largest", its name) -> number of jobs done here
+        self.new_jobs = []  # jobs added since the dispatcher last read the queue
+        self.jobs_done = {}  # ("class", "team" or "largest", its name) -> number of jobs done here
         self._sizes = {}  # class -> sorted CPU totals of its jobs ever owned here
         self.version = 0  # incremented when the queue has to be sorted again
-        self.finals = {}  # id -> final record of jobs known to be over
+        self.final_records = {}  # id -> final record of jobs known to be over
         self._creations = {}  # id -> Future of (is new, record)
         self._being_created = {}  # id -> Job whose first record is being written
         # Ids in `_being_created` that another controller has read and cancelled
@@ -104,7 +105,7 @@
         context = OwnerContext(loop, member, send, changed, counters.add, time_of_day, lease_s)
         self.reconciliation = Reconciliation(context, self.jobs, self._on_reconciled)
         self.task_reports = TaskReports(context, self)
-        self.line = line_of(self)
+        self.dependency_queue = make_dependency_queue(self)
         self._parts = parts
         self.recorder = recorder_of(self._on_written, self._on_conflict, self._on_refused, changed)
 
@@ -132,8 +133,8 @@
             if not self.quota.owns(spec.team):
                 owner = NOBODY  # the quota leader takes it over
             job = self._being_created[spec.id] = Job(spec, owner, self._time_of_day())
-            if not job.waits or self.recorder.holds(job):
-                self.recorder.mark(job, URGENT)
+            if not job.is_waiting or self.recorder.fits_record(job):
+                self.recorder.schedule_write(job, URGENT)
             else:
                 self._loop.spawn(self._write_parts(job), "parts")
         return pending
@@ -144,10 +145,10 @@
         if written is None:
             self._on_refused(job)
             return
-        job.parts, job.head_if = written
-        self.recorder.mark(job, URGENT)
+        job.parts, job.creation_condition = written
+        self.recorder.schedule_write(job, URGENT)
 
-    def coming(self, on_word):
+    def arriving_jobs(self, on_word):
         """Returns the jobs whose tasks will soon wait here, for the rental of machines.
 
         These are creations found to be new and jobs being taken over. A submission by itself is no reason to
@@ -155,12 +156,12 @@
         creations are new, unconfirmed ones with up to `on_word` CPUs in total are counted as well.
         """
         unconfirmed = []
-        for job in self._being_created.values() if self.recorder.unsure else ():
-            cpus = job.spec.cpus * len(job.free)
-            if job not in self.recorder.fresh and cpus <= on_word and not job.waits:
+        for job in self._being_created.values() if self.recorder.newness_unknown else ():
+            cpus = job.spec.cpus * len(job.unstarted)
+            if job not in self.recorder.confirmed_new and cpus <= on_word and not job.is_waiting:
                 on_word -= cpus
                 unconfirmed.append(job)
-        fresh = [job for job in self.recorder.fresh if not job.waits]
+        fresh = [job for job in self.recorder.confirmed_new if not job.is_waiting]
         return [*fresh, *unconfirmed, *{**self._adopting, **self.reconciliation.inherited}]
 
     def _finish_creation(self, job):
@@ -184,10 +185,10 @@
             self._on_created(job)
             return True, None
         self._cancelled_early.discard(job.id)
-        record = self.finals.get(job.id) or job.final("cancelled")
-        self.remember(job.id, record)
+        record = self.final_records.get(job.id) or job.final("cancelled")
+        self.remember_final(job.id, record)
         if job.owner == self._identity:
-            self.recorder.drop(CANCEL + job.id)  # no other owner can have started any of its tasks
+            self.recorder.schedule_delete(CANCEL + job.id)  # no other owner can have started any of its tasks
         return False, record
 
     def _on_written(self, job, recorded, state):
@@ -215,7 +216,7 @@
             if self.quota.closing:
                 self._without_owner.append(job)
             self._on_orphan(job)
-        elif not self.line.enter(job):
+        elif not self.dependency_queue.add_waiting(job):
             self._add_owned(job)
 
     # Quota partitions
@@ -226,7 +227,7 @@
         Jobs being created, taken over or waiting for their dependencies count as jobs of their partition.
         """
         groups = {self.teams.group(job.spec.team) for job in (*self._being_created.values(), *self._adopting)}
-        groups |= {self.teams.group(team) for team in self.line.waits.by_team}
+        groups |= {self.teams.group(team) for team in self.dependency_queue.dependencies.by_team}
         return self.quota.idle({*groups, *self.accounts.groups()})
 
     def _remove_owned(self, job):
@@ -250,11 +251,11 @@
             insort(sizes, job.spec.tasks * job.spec.cpus)
         self.jobs[job.id] = job
         self.accounts.enter(job)
-        if job.unsynced:
-            self.accounts.unsure(job)
+        if job.unreconciled_leaders:
+            self.accounts.unreconciled(job)
             self.reconciliation.inherited[job] = True
-        self.arrived.append(job)
-        self.seen[job.spec.klass] = self.seen.get(job.spec.klass, 0) + 1
+        self.new_jobs.append(job)
+        self.jobs_seen[job.spec.klass] = self.jobs_seen.get(job.spec.klass, 0) + 1
         self._changed()
 
     def _on_ended(self, job, record, counted=False):
@@ -263,11 +264,11 @@
         `counted` is true if another controller wrote the end, and has already counted it for the summary and
         announced it.
         """
-        self.remember(job.id, record)
+        self.remember_final(job.id, record)
         self._shelve(job.id, record, job.stamp)
-        self.recorder.unmark(job)
+        self.recorder.cancel_write(job)
         if not counted:
-            self.line.told(job.id, record)
+            self.dependency_queue.announce_end(job.id, record)
         if record["s"] == "done":
             if self._remove_owned(job) and not counted:
                 self._on_finished(job, self._time_of_day())
@@ -275,18 +276,18 @@
                 if self.among_largest(job):
                     keys.append(("largest", job.spec.klass))
                 for key in keys:
-                    self.served[key] = self.served.get(key, 0) + 1
+                    self.jobs_done[key] = self.jobs_done.get(key, 0) + 1
             self.forget(job.id, job.bound.items())
             job.bound.clear()
 
-    def remember(self, job_id, record):
+    def remember_final(self, job_id, record):
         """Keeps the final record of a job that is known to be over; the oldest are forgotten first."""
-        if len(self.finals) > MAX_FINALS:
-            self.finals.pop(next(iter(self.finals)))
-        known = job_id in self.finals
-        self.finals[job_id] = record
+        if len(self.final_records) > MAX_FINALS:
+            self.final_records.pop(next(iter(self.final_records)))
+        known = job_id in self.final_records
+        self.final_records[job_id] = record
         if not known:
-            self.line.over(job_id, record)
+            self.dependency_queue.on_job_ended(job_id, record)
 
     def _on_conflict(self, job, record, stamp):
         """Callback of the recorder: the stored record is not the one expected.
@@ -296,7 +297,7 @@
         mine = record is not None and record["s"] == "open" and tuple(record["o"]) == self._identity
         pending = self._finish_creation(job)
         if pending is not None:
-            self.recorder.unmark(job)
+            self.recorder.cancel_write(job)
             if (
                 record is not None
                 and record["s"] == "open"
@@ -312,18 +313,19 @@
             return  # the creation's outcome was already found by a check of waiting creations
         if record is None:
             log.error("job %s: its record is missing in the state service", job.id)
-            self.recorder.unmark(job)
+            self.recorder.cancel_write(job)
             return
         if record["s"] in FINAL:
             inherited = self._stop_takeover(job)
-            self.recorder.unmark(job)
+            self.recorder.cancel_write(job)
             self._upstream_cancelled.pop(job.id, None)
             if record["s"] == "done":
                 job.stamp = stamp
                 self._on_ended(job, record, inherited)
             else:
-                if job.unsynced and job.id in self.jobs:
-                    self.accounts.unsure(job)  # the shard leaders have yet to report which of its tasks run
+                if job.unreconciled_leaders and job.id in self.jobs:
+                    # the shard leaders have yet to report which of its tasks run
+                    self.accounts.unreconciled(job)
                 self.cancelled(job.id, record)
             return
         if mine:
@@ -337,10 +339,10 @@
         log.info("job %s has a new owner: %s", job.id, record["o"])
         if self._stop_takeover(job):
             # The shard leaders were asked for it from here and report to this controller.
-            self._send(record["o"][0], frames.Orphan(job.id))
-        self.recorder.unmark(job)
+            self._send(record["o"][0], frames.OrphanedJob(job.id))
+        self.recorder.cancel_write(job)
         self._upstream_cancelled.pop(job.id, None)
-        self.line.waits.remove(job)
+        self.dependency_queue.dependencies.remove(job)
         self._remove_owned(job)
         self.version += 1
 
@@ -348,8 +350,8 @@
         """Stops the takeover of a job. Returns whether it was being taken over."""
         if not self._adopting.pop(job, False):
             return False
-        job.adopting = False
-        self.accounts.sure(job)
+        job.taking_over = False
+        self.accounts.reconciled(job)
         return True
 
     # Takeover
@@ -359,7 +361,7 @@
 
         No other controller takes it over from the previous owner any more.
         """
-        job.adopting = job.foreign = False
+        job.taking_over = job.owned_by_predecessor = False
         if not self._newly_owned:
             self._loop.call_soon(self._sync_newly_owned)
         self._newly_owned.append(job)
@@ -374,17 +376,21 @@
         jobs, self._newly_owned = self._newly_owned, []
         self.reconciliation.ask_all([job for job in jobs if self.jobs.get(job.id) is job])
 
-    def mine(self, job_id):
+    def reassert_ownership(self, job_id):
         """Tells the shard leaders again who owns a job, because another controller asked them for it."""
         job = self.jobs.get(job_id)
-        if job is not None and not job.adopting:
+        if job is not None and not job.taking_over:
             self.reconciliation.ask_all([job])
 
     def knows(self, job_id):
         """Returns whether this controller is responsible for the job and knows of no final record."""
-        return job_id in self.jobs or job_id in self.line.waits.jobs or job_id in self._upstream_cancelled
+        return (
+            job_id in self.jobs
+            or job_id in self.dependency_queue.dependencies.jobs
+            or job_id in self._upstream_cancelled
+        )
 
-    def adopt(self, items):
+    def take_over(self, items):
         """Takes over jobs from owners that the term no longer names.
 
         `items` are (open record, stamp). Each takeover needs a write that names the new owner, and none of
@@ -395,31 +401,35 @@
         for record, stamp in items:
             job = from_record(record, self._identity, stamp)
             if not self.knows(job.id) and self.quota.owns(job.spec.team):
-                job.foreign = True
-                if not self.line.enter(job):
+                job.owned_by_predecessor = True
+                if not self.dependency_queue.add_waiting(job):
                     adopted.append(job)
                     self._start_takeover(job)
-                elif record["o"][0] and self.quota.limited(job.spec.team) and job.id in self.line.waits.jobs:
+                elif (
+                    record["o"][0]
+                    and self.quota.limited(job.spec.team)
+                    and job.id in self.dependency_queue.dependencies.jobs
+                ):
                     self._perhaps_started[job] = True
-                    self.accounts.unsure(job)
+                    self.accounts.unreconciled(job)
         if adopted:
             self.reconciliation.ask_all(adopted)
 
     def _start_takeover(self, job):
         """Starts the takeover of a job: it is owned here, but none of its tasks starts before the write."""
-        job.adopting = self._adopting[job] = True
+        job.taking_over = self._adopting[job] = True
         self._add_owned(job)
-        self.recorder.mark(job, SOON)
+        self.recorder.schedule_write(job, SOON)
 
     def _on_reconciled(self, job):
         """Every shard leader has reported all that it knows of an inherited job."""
-        self.accounts.sure(job)
+        self.accounts.reconciled(job)
         if job.state == "cancelled":
             self._release_cancelled(job)
-        if job.gang and job.free and job.bound:
+        if job.gang and job.unstarted and job.bound:
             self._stop_gang(job)  # its owner ended while starting them
 
-    # Dependencies (pipelines/line.py)
+    # Dependencies (pipelines/dependency_queue.py)
 
     def never_started(self, job):
         """Notes that the previous owner cannot have started a waiting job.
@@ -427,9 +437,9 @@
         That is certain while one of its dependencies is not done, or if one was cancelled.
         """
         if self._perhaps_started.pop(job, False):
-            self.accounts.sure(job)
+            self.accounts.reconciled(job)
 
-    def forget_waiting(self, job):
+    def on_waiting_dropped(self, job):
         """Forgets an inherited job that waits for its dependencies, because the owners have changed.
 
         Until all records are read again, nobody knows which tasks of its team may be running.
@@ -438,13 +448,13 @@
             self.never_started(job)
             self.quota.read_anew(job.spec.team)
 
-    def released(self, job):
+    def on_upstream_done(self, job):
         """Starts a job whose dependencies are all durably done.
 
         If its owner ended before, that owner may have started it already. Such a job is therefore taken over
         only now, with a write, like any other inherited job.
         """
-        if not job.foreign:
+        if not job.owned_by_predecessor:
             self._add_owned(job)
             return
         self._perhaps_started.pop(job, None)  # it counts as being taken over from now on
@@ -458,7 +468,7 @@
         jobs, self._newly_released = self._newly_released, []
         self.reconciliation.ask_all([job for job in jobs if self.jobs.get(job.id) is job])
 
-    def end(self, job):
+    def cancel_with_upstream(self, job):
         """Cancels a waiting job because one of its dependencies is cancelled.
 
         The job counts as cancelled at once; its own record is written with low urgency.
@@ -466,13 +476,13 @@
         self.never_started(job)
         self._upstream_cancelled[job.id] = job
         record = {**job.final(job.state), "above": True}
-        self.remember(job.id, record)
-        self.line.told(job.id, record)
-        self.recorder.mark(job, LATER)
+        self.remember_final(job.id, record)
+        self.dependency_queue.announce_end(job.id, record)
+        self.recorder.schedule_write(job, LATER)
 
-    def lift(self, job, rank):
+    def raise_urgency(self, job, rank):
         """Raises the urgency of an open job to that of a job that depends on it."""
-        self.accounts.lift(job, rank)
+        self.accounts.raise_urgency(job, rank)
         self.version += 1
         self._changed()
 
@@ -483,7 +493,7 @@
 
         `attempt` is given for the tasks of a gang, which share one attempt number.
         """
-        index = job.free.pop()
+        index = job.unstarted.pop()
         self.started_at[job.spec.klass] = self._loop.now()
         attempt = attempt or self.attempt()
         binding = job.bound[index] = Binding(machine, zone, attempt, "launching", self._loop.now())
@@ -504,11 +514,11 @@
         """Returns the creations under way: a map of job ids to the Futures of their outcomes."""
         return self._creations
 
-    def creating(self, group):
+    def count_creating(self, group):
         """Returns how many jobs of a group are being created here."""
         return sum(self.teams.group(job.spec.team) == group for job in self._being_created.values())
 
-    def reconsider(self):
+    def resolve_unowned(self):
         """Announces the jobs without an owner once the handover of quota partitions has an outcome.
 
         The partitions that were closing either stay here after all or surely have another leader. Their quota
@@ -528,16 +538,18 @@
 
     def stop(self, job, index, binding):
         """Stops a task, with time to save its state. It waits again once it is surely gone."""
-        self.send_home(binding, frames.Stop(binding.machine, job.id, index, binding.attempt, job.spec.save_s))
+        self.send_to_leader(
+            binding, frames.StopTask(binding.machine, job.id, index, binding.attempt, job.spec.save_s)
+        )
 
     def unbind(self, job, index):
         """Handles an attempt that is surely on no machine.
 
         Its task waits again, unless it is done or its job is over.
         """
-        self.accounts.let_go(job, job.bound.pop(index))
+        self.accounts.release_held(job, job.bound.pop(index))
         if job.state == "open" and index not in job.done:
-            job.free.append(index)
+            job.unstarted.append(index)
             if job.gang:
                 self._stop_gang(job)
             self._changed()
@@ -550,9 +562,9 @@
         Shard leaders that have not reported yet may still find tasks of it, and they learn of the
         cancellation from the mark alone.
         """
-        if not job.bound and not job.unsynced:
+        if not job.bound and not job.unreconciled_leaders:
             self._remove_owned(job)
-            self.recorder.drop(CANCEL + job.id)
+            self.recorder.schedule_delete(CANCEL + job.id)
 
     def _stop_gang(self, job):
         """Stops the rest of a gang that lost a task; all start again once they are surely gone.
@@ -564,9 +576,9 @@
             if binding.status not in ("exited", "saving"):
                 self.stop(job, index, binding)
 
-    def send_home(self, binding, frame):
+    def send_to_leader(self, binding, frame):
         """Sends a frame to the leader of the machine on which an attempt is bound."""
-        leader = self._member.term.home(binding.machine)
+        leader = self._member.term.leader_of(binding.machine)
         if leader is not None:
             self._send(leader, frame)
 
@@ -574,11 +586,11 @@
         """Tells the shard leaders to forget ended attempts, given as (index, binding) pairs."""
         by_leader = {}
         for index, binding in bindings:
-            leader = self._member.term.home(binding.machine)
+            leader = self._member.term.leader_of(binding.machine)
             by_leader.setdefault(leader, []).append((binding.machine, job_id, index, binding.attempt))
         by_leader.pop(None, None)
         for leader, rows in by_leader.items():
-            self._send(leader, frames.Forget(rows))
+            self._send(leader, frames.ForgetAttempts(rows))
 
     def cancelled(self, job_id, record=None):
         """Handles the durable cancellation of a job. `record` is its final record, if known."""
@@ -586,16 +598,16 @@
             return  # its end is being written; the conflict of that write reports this cancellation
         if job_id in self._being_created:
             self._cancelled_early.add(job_id)
-        waiting = self.line.waits.jobs.get(job_id)
+        waiting = self.dependency_queue.dependencies.jobs.get(job_id)
         if waiting is not None:
-            self.line.waits.remove(waiting)
+            self.dependency_queue.dependencies.remove(waiting)
             waiting.state = "cancelled"
-            self.recorder.unmark(waiting)
-            self.remember(job_id, record or waiting.final(waiting.state))
-            if waiting.foreign:
+            self.recorder.cancel_write(waiting)
+            self.remember_final(job_id, record or waiting.final(waiting.state))
+            if waiting.owned_by_predecessor:
                 self._ask_for_tasks(waiting)
             else:
-                self.recorder.drop(CANCEL + job_id)
+                self.recorder.schedule_delete(CANCEL + job_id)
             return
         job = self.jobs.get(job_id)
         if job is None or job.state == "cancelled":
@@ -603,18 +615,20 @@
         if job.state == "done" and record is None:
             return  # its end is being written; the outcome of that write shows which came first
         job.state = "cancelled"
-        self.recorder.unmark(job)
+        self.recorder.cancel_write(job)
         if self._adopting.pop(job, False):
             self._on_taken_over(job)  # the write of its takeover may never have an outcome
         if record is not None:
-            self.remember(job_id, record)
-        job.free.clear()
+            self.remember_final(job_id, record)
+        job.unstarted.clear()
         ended = [(index, binding) for index, binding in job.bound.items() if binding.status == "exited"]
         self.forget(job_id, ended)
         for index, _binding in ended:
             del job.bound[index]
         for index, binding in list(job.bound.items()):
-            self.send_home(binding, frames.Stop(binding.machine, job_id, index, binding.attempt, 0.0))
+            self.send_to_leader(
+                binding, frames.StopTask(binding.machine, job_id, index, binding.attempt, 0.0)
+            )
         self._release_cancelled(job)
 
     def _ask_for_tasks(self, job):
@@ -625,6 +639,6 @@
         """
         self._perhaps_started.pop(job, None)
         job.release(self._time_of_day())
-        job.free.clear()
+        job.unstarted.clear()
         self._add_owned(job)
         self.reconciliation.ask_all([job])
--- a/roadhead/jobs/quota.py
+++ b/roadhead/jobs/quota.py
@@ -5,7 +5,7 @@
 the group that may be on a machine (docs/fault-combinations.md, "What a quota leader counts").
 """
 
-from roadhead.homes.machine import NOTHING
+from roadhead.machines.machine import NO_RESOURCES
 
 NO_ROOM = (-1.0, -1.0)  # (cpus, gpus); excludes even a task that takes nothing
 UNLIMITED = 1e12  # CPUs or GPUs left to a team without a limit on them
@@ -37,7 +37,9 @@
         label = self._member.label
         same = old is not None and old.incarnation(label) == new.incarnation(label)
         held = (
-            {partition for partition, leader in enumerate(old.wardens) if leader == label} if same else set()
+            {partition for partition, leader in enumerate(old.quota_leaders) if leader == label}
+            if same
+            else set()
         )
         # In a term that was not seen here, a partition may have gone to a controller that started tasks and
         # ended.
@@ -46,11 +48,15 @@
             held -= self.closing
         self.held_since = {
             partition: self.held_since.get(partition, new.number) if partition in held else new.number
-            for partition, leader in enumerate(new.wardens)
+            for partition, leader in enumerate(new.quota_leaders)
             if leader == label
         }
         for partition in self.held_since.keys() - held:
-            before = old.wardens[partition] if old is not None and partition < len(old.wardens) else None
+            before = (
+                old.quota_leaders[partition]
+                if old is not None and partition < len(old.quota_leaders)
+                else None
+            )
             # A leader that hands a partition over has no jobs or tasks of it left.
             if skipped or before is None or old.incarnation(before) != new.incarnation(before):
                 self.unread.add(partition)
@@ -85,7 +91,7 @@
         if group is None:
             return True
         return (
-            self._member.term.warden(group) == self._member.label
+            self._member.term.quota_leader(group) == self._member.label
             and self._partition(group) not in self.closing
         )
 
@@ -133,7 +139,7 @@
         """Returns whether every task of a limited team's group that may be on a machine is known here."""
         group = self._teams.group(team)
         account = self._accounts.get(group)
-        return self.knows_partition(self._partition(group)) and not (account and account.unsure)
+        return self.knows_partition(self._partition(group)) and not (account and account.unreconciled)
 
     def level_rooms(self, team):
         """Returns {level: (cpus, gpus)}: what each limit on the team leaves, by the tasks known so far.
@@ -146,7 +152,7 @@
         rooms = {}
         for name, limits in levels:
             account = self._accounts.get(name)
-            held = account.held if account is not None else NOTHING
+            held = account.held if account is not None else NO_RESOURCES
             rooms[name] = tuple(
                 most - held[index] if most else UNLIMITED for index, most in enumerate(limits)
             )
@@ -162,4 +168,4 @@
         return self._teams.group(team) is not None
 
     def _partition(self, group):
-        return self._member.term.slot(group)
+        return self._member.term.partition_of(group)
--- a/roadhead/jobs/quota_spreading.py
+++ b/roadhead/jobs/quota_balancer.py
@@ -30,32 +30,34 @@
     return handovers
 
 
-class QuotaSpreading:
+class QuotaBalancer:
     """Duty of each controller that hands over idle partitions; it looks for them every `every_s` seconds."""
 
-    def __init__(self, loop, member, book, every_s):
+    def __init__(self, loop, member, job_store, every_s):
         self._loop = loop
         self._member = member
-        self._book = book
+        self._job_store = job_store
         self._every_s = every_s
 
     async def run(self):
         """Runs the duty. A handover whose outcome is unknown is sent again under the same revision."""
         while True:
             await self._loop.sleep(self._every_s)
-            if not self._member.joined or self._member.lapsed():
+            if not self._member.joined or self._member.lease_may_have_expired():
                 continue
             term = self._member.term
-            handovers = surplus(term.wardens, self._member.label, term.members, self._book.idle_partitions())
+            handovers = surplus(
+                term.quota_leaders, self._member.label, term.members, self._job_store.idle_partitions()
+            )
             if handovers:
                 await self._give(term, handovers)
 
     async def _give(self, term, handovers):
-        self._book.quota.closing = set(handovers)
+        self._job_store.quota.closing = set(handovers)
         outcome = None
         while outcome is None and self._member.joined and self._member.term is term:
-            outcome = await self._member.give(handovers)
+            outcome = await self._member.hand_over_partitions(handovers)
             if outcome is None:
                 await self._loop.sleep(self._every_s / 4)
-        self._book.quota.closing = set()
-        self._book.reconsider()
+        self._job_store.quota.closing = set()
+        self._job_store.resolve_unowned()
--- a/roadhead/jobs/ranges.py
+++ b/roadhead/jobs/ranges.py
@@ -45,7 +45,7 @@
         return [edge for pair in zip(self.starts, self.ends, strict=True) for edge in pair]
 
 
-class Pool:
+class TaskPool:
     """The task numbers of a job that may be taken: ranges not yet touched, and numbers that were returned.
 
     Returned numbers are taken first, then the lowest untouched one. A job of 100,000 waiting tasks takes two
--- a/roadhead/jobs/recorder.py
+++ b/roadhead/jobs/recorder.py
@@ -8,16 +8,16 @@
 
 import logging
 
-from roadhead.jobs.job import KEY, SHELF, before, size_of
-from roadhead.jobs.newness import Newness
+from roadhead.jobs.creation_check import CreationChecker
+from roadhead.jobs.job import ARCHIVE, KEY, awaited_ids, size_of
 from roadhead.jobs.ranges import Ranges
 from roadhead.jobs.records import SPARE, complete, find
-from roadhead.jobs.transactions import Drops, Entry, Lanes, Transaction
+from roadhead.jobs.transactions import PendingDeletes, RecordWrite, Transaction, TransactionPacer
 from roadhead.jobs.write_queue import LATER, SOON, WriteQueue
 from roadhead.membership.member import TENANT, TERM
-from roadhead.pipelines.parts import PARTS
+from roadhead.pipelines.upstream_parts import PARTS
 from roadhead.runtime.loop import Cancelled, Signal
-from roadhead.state.client import Conflict, TooLarge, Unavailable, Unsure
+from roadhead.state.client import ConflictError, RequestTooLargeError, UnavailableError, UnknownOutcomeError
 
 log = logging.getLogger("roadhead.recorder")
 
@@ -37,7 +37,7 @@
         on_written: `on_written(job, recorded, state)` is called once a record is stored.
         on_conflict: `on_conflict(job, record, stamp)` is called if something else is stored.
         on_refused: `on_refused(job)` is called if nothing of a creation was written and never will be.
-        on_new: called when more is known about which waiting creations are new (jobs/newness.py).
+        on_new: called when more is known about which waiting creations are new (jobs/creation_check.py).
         member: this controller's membership; creations depend on its term.
         guards: conditions of creations. `guards.of(job)` returns the (key, stamp) under which alone the job
             may be created, or None. `guards.changed(key, record, stamp)` is told what is stored under that
@@ -61,16 +61,16 @@
         self._guards = guards
         self._queue = WriteQueue(loop, progress_s)
         self._in_flight = {}  # job -> Entry; no other transaction has the job until its outcome is known
-        self._pacer = Lanes(loop, state.answers)
-        self._pending_deletes = Drops(loop, progress_s)
+        self._pacer = TransactionPacer(loop, state.answers)
+        self._pending_deletes = PendingDeletes(loop, progress_s)
         self._wake = Signal()
-        self.newness = Newness(loop, state, progress_s, self._settle, on_new)
+        self.newness = CreationChecker(loop, state, progress_s, self._settle, on_new)
         self.failing_since = None
         # job -> fraction of the value limit that its record may take, after a larger one was refused
         self._record_fraction = {}
         self._one_at_a_time = False  # after a batch was too large: one record at a time until one is written
 
-    def mark(self, job, urgency):
+    def schedule_write(self, job, urgency):
         """Marks a job's record to be written, after the outcome of its write under way if there is one."""
         entry = self._in_flight.get(job)
         if entry is not None:
@@ -82,7 +82,7 @@
         if not job.stamp:
             self.newness.add(job)
 
-    def unmark(self, job):
+    def cancel_write(self, job):
         """Withdraws the mark: the job's record need not be written any more."""
         self._queue.take(job)
         entry = self._in_flight.get(job)
@@ -90,7 +90,7 @@
             entry.again, entry.over = None, True
         self.newness.remove(job)
 
-    def drop(self, key):
+    def schedule_delete(self, key):
         """Queues a key that is no longer needed for deletion."""
         self._pending_deletes.add(key)
         self._wake.set()
@@ -107,11 +107,11 @@
             if record is not None:
                 self._report_conflict(entry, record, stamp)
             else:
-                self.unmark(entry.job)
+                self.cancel_write(entry.job)
                 self._release(entry)
                 self._on_refused(entry.job)
 
-    def holds(self, job):
+    def fits_record(self, job):
         """Returns whether the job's record, with all of its dependencies, is small enough to be stored."""
         return size_of(job.spec) <= self._state.limits.value_bytes
 
@@ -120,14 +120,14 @@
         return len(self._queue.urgent)
 
     @property
-    def fresh(self):
+    def confirmed_new(self):
         """Waiting creations that were found to be new."""
-        return self.newness.fresh
+        return self.newness.confirmed_new
 
     @property
-    def unsure(self):
+    def newness_unknown(self):
         """Whether nobody can tell at present which waiting creations are new."""
-        return self.newness.unsure
+        return self.newness.newness_unknown
 
     async def check(self):
         """Duty: finds out which of the waiting creations are new."""
@@ -140,7 +140,7 @@
         """
         try:
             record, stamp = await find(self._state, job.id)
-        except (Unavailable, Unsure):
+        except (UnavailableError, UnknownOutcomeError):
             return  # the job's own write finds the record as well
         if record is not None and job in self._queue:
             self._on_conflict(job, record, stamp)
@@ -172,13 +172,13 @@
         settled = False
         try:
             settled = await self._send(transaction)
-        except (Unavailable, Unsure) as error:
+        except (UnavailableError, UnknownOutcomeError) as error:
             log.debug("transaction with %d records has no outcome yet: %r", len(transaction.entries), error)
             self._pacer.pause(REFUSAL_PAUSE_S)
         finally:
             self._requeue_unfinished(transaction)
         if settled:
-            self.failing_since, self.newness.unsure = None, False
+            self.failing_since, self.newness.newness_unknown = None, False
         elif self.failing_since is None:
             self.failing_since = self._loop.now()
 
@@ -194,15 +194,15 @@
         """
         try:
             revision = await self._state.send(transaction.conditions, transaction.writes)
-        except Conflict as conflict:
+        except ConflictError as conflict:
             self._pending_deletes.give_back(transaction.deletes)
             await self._resolve(transaction, conflict.failed)
-        except Unsure:
+        except UnknownOutcomeError:
             self._pending_deletes.give_back(transaction.deletes)
             return await self._read_outcome(transaction)
-        except Unavailable as error:
+        except UnavailableError as error:
             self._pending_deletes.give_back(transaction.deletes)
-            if isinstance(error, TooLarge):
+            if isinstance(error, RequestTooLargeError):
                 self._shrink([entry.job for entry in transaction.entries])
             raise
         else:
@@ -245,7 +245,7 @@
             if part > MIN_RECORD_FRACTION:
                 continue
             log.error("job %s: record is too large for the state service and is not written any more", job.id)
-            self.unmark(job)
+            self.cancel_write(job)
             self._count("records_too_large")
             if not job.stamp:
                 self._record_fraction.pop(job)
@@ -258,13 +258,13 @@
         for job in batch:
             record, recorded = job.record(int(largest * self._record_fraction.get(job, 1.0)))
             # One edge of a range takes up to 7 bytes of JSON; the rest of a record is the description.
-            size += 1200 + 7 * len(record.get("done", ())) + 34 * len(before(record))
+            size += 1200 + 7 * len(record.get("done", ())) + 34 * len(awaited_ids(record))
             if transaction.entries and size > MAX_TRANSACTION_BYTES:
                 break
             if transaction.entries and len(transaction.conditions) + 5 > 4 * self._state.limits.txn_ops:
                 break  # a creation takes four conditions, and that on the term is added below
-            shelved = transaction.may_shelve(job, len(batch) - len(transaction.entries) - 1, self._state)
-            self._add(transaction, job, record, recorded, shelved)
+            archived = transaction.may_archive(job, len(batch) - len(transaction.entries) - 1, self._state)
+            self._add(transaction, job, record, recorded, archived)
         if transaction.creates:
             # A job is created only while the term names its owner: the scan that follows the removal of a
             # member would miss a creation that takes effect later.
@@ -274,18 +274,18 @@
         )
         transaction.writes += [{"drop": key} for key in transaction.deletes]
 
-    def _add(self, transaction, job, record, recorded, shelved):
+    def _add(self, transaction, job, record, recorded, archived):
         """Adds one job's record and its conditions to a transaction."""
         transaction.require((KEY + job.id, job.stamp))
         if not job.stamp:
-            transaction.require((SHELF + job.id, 0))  # the job may have ended long ago
+            transaction.require((ARCHIVE + job.id, 0))  # the job may have ended long ago
             transaction.require(self._guards.of(job))
-            transaction.require(job.head_if)
-        transaction.put(job.id, record, shelved)
+            transaction.require(job.creation_condition)
+        transaction.put(job.id, record, archived)
         self.newness.being_written(job)
         if recorded is job.done:
             recorded = Ranges(job.done.flat())  # a copy: tasks done from now on are not in this record
-        entry = Entry(job, self._queue.take(job), record, recorded, job.state, shelved=shelved)
+        entry = RecordWrite(job, self._queue.take(job), record, recorded, job.state, archived=archived)
         transaction.entries.append(entry)
         self._in_flight[job] = entry
 
@@ -302,23 +302,25 @@
         """Marks the job of an entry again, unless it was unmarked meanwhile."""
         if not self._release(entry) or entry.over:
             return
-        self.mark(entry.job, entry.urgency if entry.again is None else min(entry.urgency, entry.again))
+        self.schedule_write(
+            entry.job, entry.urgency if entry.again is None else min(entry.urgency, entry.again)
+        )
 
     def _confirm(self, entry, revision):
         """Handles a record that is stored as it was sent, since that revision."""
         job, recorded = entry.job, entry.recorded
-        job.stamp = 0 if entry.shelved else revision
-        self._count("records_shelved", int(entry.shelved))
+        job.stamp = 0 if entry.archived else revision
+        self._count("records_shelved", int(entry.archived))
         job.written_at = self._loop.now()
         job.saved_count = recorded.count
         self._record_fraction.pop(job, None)
         self.newness.remove(job)
         self._release(entry)
         if entry.again is not None:
-            self.mark(job, entry.again)
+            self.schedule_write(job, entry.again)
         self._on_written(job, recorded, entry.state)
         if job.state == "open" and job.done.count > recorded.count and job not in self._queue:
-            self.mark(job, SOON if job.complete() else LATER)
+            self.schedule_write(job, SOON if job.complete() else LATER)
 
     def _report_conflict(self, entry, record, stamp):
         """Reports that something other than the last sent record is stored."""
@@ -367,7 +369,9 @@
         for key in guarded:
             left = [entry for entry in entries if self._in_flight.get(entry.job) is entry]
             if key.startswith(PARTS):
-                await self._refuse([entry for entry in left if self._depends(entry, entry.job.head_if, key)])
+                await self._refuse(
+                    [entry for entry in left if self._depends(entry, entry.job.creation_condition, key)]
+                )
             elif self._guards.changed(key, *await self._state.get(key)):
                 await self._refuse(
                     [entry for entry in left if self._depends(entry, self._guards.of(entry.job), key)]
--- a/roadhead/jobs/records.py
+++ b/roadhead/jobs/records.py
@@ -8,11 +8,11 @@
 
 import logging
 
-from roadhead.jobs.job import FINAL, FORMAT, KEY, SHELF
-from roadhead.pipelines.parts import whole
+from roadhead.jobs.job import ARCHIVE, FINAL, FORMAT, KEY
+from roadhead.pipelines.upstream_parts import whole
 from roadhead.runtime.loop import Signal
-from roadhead.shares.hashing import pick
-from roadhead.state.client import IDLE_PART, Conflict, Unavailable, Unsure
+from roadhead.shards.hashing import rendezvous_choice
+from roadhead.state.client import IDLE_PART, ConflictError, UnavailableError, UnknownOutcomeError
 
 log = logging.getLogger("roadhead.records")
 
@@ -27,7 +27,7 @@
     """
     record, stamp = await state.get(KEY + job_id)
     if record is None:
-        record, _stamp = await state.get(SHELF + job_id)
+        record, _stamp = await state.get(ARCHIVE + job_id)
         stamp = 0
     return await complete(state, job_id, record), stamp
 
@@ -38,11 +38,11 @@
     Raises Unavailable or Unsure. A record of a newer format also raises Unavailable, and is left alone.
     """
     if record is not None and record.get("v", 0) > FORMAT:
-        raise Unavailable(f"record of job {job_id} has format {record['v']}, newer than {FORMAT}")
+        raise UnavailableError(f"record of job {job_id} has format {record['v']}, newer than {FORMAT}")
     return await whole(state, job_id, record)
 
 
-class Shelf:
+class RecordArchiver:
     """Moves final records to the archive in small batches, with writes that other duties leave over.
 
     Each batch is one transaction under the stamps last known: repeating it, or coming second, changes
@@ -67,9 +67,9 @@
             self._queue[job_id] = (record, stamp)
         self._wake.set()
 
-    def found(self, job_id, record, stamp):
+    def add_if_responsible(self, job_id, record, stamp):
         """Queues a final record that every controller reads, on the one controller responsible for it."""
-        if pick(self._member.term.members, job_id) == self._member.label:
+        if rendezvous_choice(self._member.term.members, job_id) == self._member.label:
             self.add(job_id, record, stamp)
 
     async def run(self):
@@ -90,31 +90,31 @@
                     )
                 elif self._after is not None:
                     await self._read_on()
-            except (Unavailable, Unsure) as error:
+            except (UnavailableError, UnknownOutcomeError) as error:
                 log.debug("final records were not moved to the archive: %r", error)
 
     async def _move(self, moves):
         conditions = [(KEY + job_id, stamp) for job_id, _record, stamp in moves]
         writes = []
         for job_id, record, _stamp in moves:
-            writes += [{"put": SHELF + job_id, "data": record}, {"drop": KEY + job_id}]
+            writes += [{"put": ARCHIVE + job_id, "data": record}, {"drop": KEY + job_id}]
         try:
             await self._state.multi(conditions, writes)
             self._count("records_shelved", len(moves))
-        except Conflict as conflict:
+        except ConflictError as conflict:
             # The others were moved by another controller, or by a write of ours whose answer was lost.
             self._put_back([move for move in moves if KEY + move[0] not in conflict.failed])
-        except Unsure:
+        except UnknownOutcomeError:
             # A comparison costs no writes, and records that were moved are not moved again.
             await self._compare(moves, conditions)
-        except Unavailable:
+        except UnavailableError:
             self._put_back(moves)
             raise
 
     async def _compare(self, moves, conditions):
         try:
-            await self._state.unchanged(conditions)
-        except Conflict as conflict:
+            await self._state.check_conditions(conditions)
+        except ConflictError as conflict:
             moves = [move for move in moves if KEY + move[0] not in conflict.failed]
         finally:
             self._put_back(moves)
@@ -127,6 +127,6 @@
         items, more, _revision = await self._state.page(KEY, self._after)
         for key, record, stamp in items:
             if record["s"] in FINAL:
-                self.found(key[len(KEY) :], record, stamp)
+                self.add_if_responsible(key[len(KEY) :], record, stamp)
         if self._after is not None:
             self._after = items[-1][0] if more else None
--- a/roadhead/jobs/task_reports.py
+++ b/roadhead/jobs/task_reports.py
@@ -37,7 +37,7 @@
 
 
 class TaskReports:
-    """Applies the reports of shard leaders to the jobs of a store (jobs/book.py)."""
+    """Applies the reports of shard leaders to the jobs of a store (jobs/job_store.py)."""
 
     def __init__(self, context, store):
         self._context = context
@@ -66,7 +66,7 @@
         """Handles one attempt of a report; `label` is the shard leader that sent it."""
         job = self._store.jobs.get(report.job)
         if job is None:
-            if report.job in self._store.finals:
+            if report.job in self._store.final_records:
                 self._dismiss(label, report)
             return
         binding = job.bound.get(report.index)
@@ -83,7 +83,7 @@
     @staticmethod
     def _is_inherited(job, report):
         """Returns whether this may be a task of an inherited job that the previous owner started."""
-        if not job.unsynced or report.index >= job.spec.tasks or report.index in job.done:
+        if not job.unreconciled_leaders or report.index >= job.spec.tasks or report.index in job.done:
             return False
         if report.exited:
             return report.completed and job.state == "open"
@@ -91,8 +91,8 @@
 
     def _bind_inherited(self, job, report):
         """Binds the attempt of an inherited job on the machine that reports it."""
-        if report.index in job.free:
-            job.free.remove(report.index)
+        if report.index in job.unstarted:
+            job.unstarted.remove(report.index)
         binding = Binding(report.machine, report.zone, report.attempt, "", self._context.loop.now())
         job.bound[report.index] = binding
         return binding
@@ -128,7 +128,7 @@
             if job.state != "open":
                 self._dismiss(label, report)
             return
-        store.accounts.let_go(job, binding)
+        store.accounts.release_held(job, binding)
         if report.completed and job.state == "open":
             self._done(job, report.index)
             return
@@ -150,11 +150,13 @@
             context.count("jobs_faulty")
             self._store.version += 1
             for label in context.member.term.members:
-                self._send(label, frames.JobFails(job.id))
+                self._send(label, frames.JobFaulty(job.id))
         now = context.loop.now()
-        if job.doubtful and job.not_before <= now:
-            pause_s = context.lease_s * min(MAX_PAUSE_LEASES, FIRST_PAUSE_LEASES * PAUSE_GROWTH**job.pauses)
-            job.pauses += 1
+        if job.suspected_faulty and job.not_before <= now:
+            pause_s = context.lease_s * min(
+                MAX_PAUSE_LEASES, FIRST_PAUSE_LEASES * PAUSE_GROWTH**job.retry_pauses
+            )
+            job.retry_pauses += 1
             job.not_before = now + pause_s
             context.loop.call_later(pause_s, context.changed)
 
@@ -168,15 +170,17 @@
             self._runs_after_all(job)
         if not job.done.add(index):
             return
-        if binding is None and index in job.free:
-            job.free.remove(index)
+        if binding is None and index in job.unstarted:
+            job.unstarted.remove(index)
         if binding is not None and binding.status != "exited":
-            self._store.send_home(binding, frames.Stop(binding.machine, job.id, index, binding.attempt, 0.0))
+            self._store.send_to_leader(
+                binding, frames.StopTask(binding.machine, job.id, index, binding.attempt, 0.0)
+            )
         if job.complete():
             job.state, job.ended_at = "done", self._context.time_of_day()
-            self._store.recorder.mark(job, URGENT)
+            self._store.recorder.schedule_write(job, URGENT)
         else:
-            self._store.recorder.mark(job, LATER)
+            self._store.recorder.schedule_write(job, LATER)
 
     def _replica_ended(self, job, index, binding):
         """Frees the task of a daemon's replica that ended, so that it is started again."""
@@ -187,9 +191,9 @@
     def _runs_after_all(self, job):
         """Clears the doubt about a job after one of its tasks was done."""
         job.failed_on.clear()
-        if job.doubtful:
+        if job.suspected_faulty:
             log.info("job %s is no longer suspected faulty: one of its tasks is done", job.id)
-            job.doubtful, job.pauses, job.not_before = False, 0, 0.0
+            job.suspected_faulty, job.retry_pauses, job.not_before = False, 0, 0.0
             self._store.version += 1
             self._context.changed()
 
@@ -197,6 +201,6 @@
         """Tells the shard leader that an attempt is not needed: to forget it, or to stop it if it runs."""
         key = (report.machine, report.job, report.index, report.attempt)
         if report.exited:
-            self._send(label, frames.Forget([key]))
+            self._send(label, frames.ForgetAttempts([key]))
         else:
-            self._send(label, frames.Stop(*key, 0.0))
+            self._send(label, frames.StopTask(*key, 0.0))
--- a/roadhead/jobs/teams.py
+++ b/roadhead/jobs/teams.py
@@ -4,25 +4,25 @@
 the settings is a group by itself; the teams of a tenant form one group (`tenants/teams.py`).
 """
 
-from roadhead.homes.machine import NOTHING
+from roadhead.machines.machine import NO_RESOURCES
 
 
 class Account:
     """What one team, or a group of teams, holds at its quota leader.
 
     `held` is (cpus, gpus, memory) of its tasks that may be on a machine, `tasks` their number, `jobs` its
-    open jobs, and `unsure` the ids of inherited jobs that are not fully reconciled yet.
+    open jobs, and `unreconciled` the ids of inherited jobs that are not fully reconciled yet.
     """
 
-    __slots__ = ("by_rank", "held", "jobs", "tasks", "teams", "unsure")
+    __slots__ = ("by_rank", "held", "jobs", "tasks", "teams", "unreconciled")
 
     def __init__(self):
-        self.held = NOTHING
+        self.held = NO_RESOURCES
         self.tasks = 0
         self.jobs = {}  # the jobs in their order of arrival; an ordered set
         self.by_rank = ({}, {}, {}, {})  # the same jobs by urgency
         self.teams = {}  # team -> number of its jobs, for teams with jobs
-        self.unsure = set()
+        self.unreconciled = set()
 
     def add(self, need):
         """Adds one task that needs (cpus, gpus, memory)."""
@@ -34,17 +34,19 @@
         self.tasks -= 1
         # Amounts are floating-point numbers: an empty account is reset, so that no rounding error stays.
         self.held = (
-            tuple(held - part for held, part in zip(self.held, need, strict=True)) if self.tasks else NOTHING
+            tuple(held - part for held, part in zip(self.held, need, strict=True))
+            if self.tasks
+            else NO_RESOURCES
         )
 
     def waiting(self):
         """Returns the number of waiting tasks. Goes through all jobs."""
-        return sum(len(job.free) for job in self.jobs)
+        return sum(len(job.unstarted) for job in self.jobs)
 
     @property
     def empty(self):
         """Whether nothing is counted in the account."""
-        return not (self.jobs or self.unsure or self.tasks)
+        return not (self.jobs or self.unreconciled or self.tasks)
 
 
 class Accounts:
@@ -81,15 +83,15 @@
             account = self._accounts[name] = Account()
         return account
 
-    def unsure(self, job):
+    def unreconciled(self, job):
         """Notes that the tasks of a job are not all known yet."""
         for account in self._accounts_of(job):
-            account.unsure.add(job.id)
+            account.unreconciled.add(job.id)
 
-    def sure(self, job):
+    def reconciled(self, job):
         """Notes that the tasks of a job are all known, or do not matter any more."""
         for account in self._accounts_of(job):
-            account.unsure.discard(job.id)
+            account.unreconciled.discard(job.id)
         self._delete_empty(job.spec.team)
 
     def enter(self, job):
@@ -98,25 +100,25 @@
             account.jobs[job] = account.by_rank[job.rank][job] = True
             account.teams[job.spec.team] = account.teams.get(job.spec.team, 0) + 1
 
-    def lift(self, job, rank):
+    def raise_urgency(self, job, rank):
         """Changes the urgency of a job."""
         for account in self._accounts_of(job):
             if job in account.jobs:
                 del account.by_rank[job.rank][job]
                 account.by_rank[rank][job] = True
-        job.lift(rank)
+        job.raise_urgency(rank)
 
     def leave(self, job):
         """Removes a job that is no longer owned here, with all that its tasks held."""
         for binding in job.bound.values():
-            self.let_go(job, binding)
+            self.release_held(job, binding)
         for account in self._accounts_of(job):
             if account.jobs.pop(job, None):
                 del account.by_rank[job.rank][job]
                 account.teams[job.spec.team] -= 1
                 if not account.teams[job.spec.team]:
                     del account.teams[job.spec.team]
-            account.unsure.discard(job.id)
+            account.unreconciled.discard(job.id)
         self._delete_empty(job.spec.team)
 
     def _delete_empty(self, team):
@@ -131,14 +133,14 @@
         if not binding.held:
             binding.held = True
             for account in self._accounts_of(job):
-                account.add(job.need)
+                account.add(job.resources)
 
-    def let_go(self, job, binding):
+    def release_held(self, job, binding):
         """Stops counting a task attempt."""
         if binding.held:
             binding.held = False
             for account in self._accounts_of(job):
-                account.take_off(job.need)
+                account.take_off(job.resources)
 
 
 class FixedTeams:
--- a/roadhead/jobs/transactions.py
+++ b/roadhead/jobs/transactions.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from roadhead.jobs.job import KEY, SHELF, Job
+from roadhead.jobs.job import ARCHIVE, KEY, Job
 from roadhead.jobs.ranges import Ranges
 from roadhead.jobs.records import SPARE
 from roadhead.runtime.loop import Signal
@@ -13,7 +13,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Entry:
+class RecordWrite:
     """One job's record in a transaction under way."""
 
     job: Job
@@ -23,12 +23,12 @@
     state: str
     again: int | None = None  # urgency of a mark that was set meanwhile
     over: bool = False  # unmarked meanwhile: the record need not be written again
-    shelved: bool = False  # the record is moved to the archive by the same transaction
+    archived: bool = False  # the record is moved to the archive by the same transaction
 
     @property
     def keys(self):
         """The keys under which the job's record may be stored."""
-        return KEY + self.job.id, SHELF + self.job.id
+        return KEY + self.job.id, ARCHIVE + self.job.id
 
     def is_stored_as(self, record):
         """Returns whether that record is the one sent: no other writer names this owner in an open record."""
@@ -39,7 +39,7 @@
 class Transaction:
     """Conditions and writes for the state service: all take effect under one revision, or none does."""
 
-    entries: list[Entry] = field(default_factory=list)
+    entries: list[RecordWrite] = field(default_factory=list)
     conditions: list[tuple[str, int]] = field(default_factory=list)
     writes: list[dict] = field(default_factory=list)
     deletes: list[str] = field(default_factory=list)
@@ -49,14 +49,14 @@
         if condition is not None and condition not in self.conditions:
             self.conditions.append(condition)
 
-    def put(self, job_id, record, shelved):
-        """Writes the job's record under `j/`, or, if it is `shelved`, moves it from there to the archive."""
-        if shelved:
-            self.writes += [{"put": SHELF + job_id, "data": record}, {"drop": KEY + job_id}]
+    def put(self, job_id, record, archived):
+        """Writes the job's record under `j/`, or, if it is `archived`, moves it from there to the archive."""
+        if archived:
+            self.writes += [{"put": ARCHIVE + job_id, "data": record}, {"drop": KEY + job_id}]
         else:
             self.writes.append({"put": KEY + job_id, "data": record})
 
-    def may_shelve(self, job, left, state):
+    def may_archive(self, job, left, state):
         """Returns whether the job's final record is moved to the archive at once.
 
         That takes two writes now instead of one now and two later. It is done only while there are plenty of
@@ -77,7 +77,7 @@
         return any(not stamp for _key, stamp in self.conditions)
 
 
-class Drops:
+class PendingDeletes:
     """Keys that are no longer needed and wait to be deleted.
 
     They are deleted along with writes of records, a few at a time, or by themselves once no record was
@@ -116,7 +116,7 @@
         return bool(self._keys) and self._loop.now() - self._waiting_since >= self._progress_s
 
 
-class Lanes:
+class TransactionPacer:
     """Paces transactions.
 
     While answers arrive in their usual time, one transaction is under way at a time, so that records marked
--- a/roadhead/pipelines/ancestry.py
+++ b/roadhead/pipelines/ancestry.py
@@ -8,7 +8,7 @@
 
 from itertools import islice
 
-from roadhead.state.client import Unavailable, Unsure
+from roadhead.state.client import UnavailableError, UnknownOutcomeError
 
 CANCELS = "c/n"
 MAX_WAITS_SHOWN = 20
@@ -71,7 +71,7 @@
                     unknown.append(name)
             for name, found in (await self._read(unknown, stamp)).items():
                 if found is None:
-                    raise Unavailable(f"upstream job {name} has no record")
+                    raise UnavailableError(f"upstream job {name} has no record")
                 if found["s"] == "cancelled":
                     return self._cancelled_record(record), []
             for name in level:
@@ -79,7 +79,7 @@
                     continue
                 entry = self._cached(name, stamp)
                 if entry is None:
-                    raise Unavailable("more ancestors than can be cached")
+                    raise UnavailableError("more ancestors than can be cached")
                 for other in entry[1]:
                     if other not in seen:
                         seen.add(other)
@@ -133,7 +133,7 @@
         """Reads one record into `found`. Returns the error if it could not be read."""
         try:
             found[name] = (await self._find(name))[0]
-        except (Unavailable, Unsure) as error:
+        except (UnavailableError, UnknownOutcomeError) as error:
             return error
         return None
 
--- a/roadhead/pipelines/waits.py
+++ b/roadhead/pipelines/dependency_index.py
@@ -6,15 +6,15 @@
 DONE, CANCELLED = "done", "cancelled"
 
 
-class Waits:
+class DependencyIndex:
     """Waiting jobs and their dependencies.
 
-    `needed` maps each upstream id that is not known to be over to the jobs that wait for it.
+    `dependents` maps each upstream id that is not known to be over to the jobs that wait for it.
     """
 
     def __init__(self):
         self.jobs = {}  # id -> Job
-        self.needed = {}  # upstream id -> {job: True}
+        self.dependents = {}  # upstream id -> {job: True}
         self.by_class = {}  # class -> number of its waiting jobs
         self.by_team = {}  # team -> number of its waiting jobs
         self._remaining = {}  # job -> upstream ids not known to be done
@@ -36,7 +36,7 @@
             return DONE
         self.jobs[job.id], self._remaining[job] = job, left
         for name in left:
-            self.needed.setdefault(name, {})[job] = True
+            self.dependents.setdefault(name, {})[job] = True
         self._count(job, 1)
         return None
 
@@ -52,23 +52,23 @@
         if self.jobs.pop(job.id, None) is None:
             return False
         for name in self._remaining.pop(job):
-            waiting = self.needed[name]
+            waiting = self.dependents[name]
             del waiting[job]
             if not waiting:
-                del self.needed[name]
+                del self.dependents[name]
         self._count(job, -1)
         return True
 
-    def left(self, job):
+    def remaining(self, job):
         """Returns the upstream ids that the job still waits for."""
         return list(self._remaining.get(job, ()))
 
-    def over(self, name, state):
+    def on_job_ended(self, name, state):
         """Handles the durable end of a job. Returns ([jobs that may start], [jobs cancelled with it]).
 
         The caller has to report the cancelled ones in turn, for the jobs that wait for them.
         """
-        waiting = self.needed.get(name)
+        waiting = self.dependents.get(name)
         if waiting is None:
             return [], []
         if state == CANCELLED:
@@ -76,7 +76,7 @@
             for job in jobs:
                 self.remove(job)
             return [], jobs
-        del self.needed[name]
+        del self.dependents[name]
         free = []
         for job in waiting:
             left = self._remaining[job]
--- a/roadhead/pipelines/line.py
+++ b/roadhead/pipelines/dependency_queue.py
@@ -10,10 +10,10 @@
 from collections import deque
 
 from roadhead.jobs.job import RANK
-from roadhead.pipelines.waits import CANCELLED, Waits
-from roadhead.pipelines.wishes import Wishes, wanted_of
+from roadhead.pipelines.dependency_index import CANCELLED, DependencyIndex
+from roadhead.pipelines.inherited_priorities import InheritedPriorities, wanted_of
 from roadhead.runtime.loop import Signal
-from roadhead.state.client import Unavailable, Unsure
+from roadhead.state.client import UnavailableError, UnknownOutcomeError
 from roadhead.wire import frames
 
 log = logging.getLogger("roadhead.pipelines")
@@ -26,37 +26,39 @@
 PRIORITY_KEPT_LEASES = 4  # workers' leases after which a priority that is not repeated is forgotten
 
 
-class Line:
+class DependencyQueue:
     """The jobs owned here that wait for others, and the priorities that jobs inherit from their dependents.
 
     Args:
         loop: the event loop.
         member: this controller's membership.
         state: the state service's client.
-        book: the jobs owned here (jobs/book.py).
+        book: the jobs owned here (jobs/job_store.py).
         send: `send(label, frame)` sends a frame to a controller.
         times: class -> factors of a job's deadline that the class's targets name.
         time_of_day: returns seconds since the epoch.
         lease_s: length of the workers' lease in seconds.
-        beat_s: seconds between two heartbeats.
+        heartbeat_s: seconds between two heartbeats.
         find: `find(id)` reads (record or None, stamp) of a job.
         counters: the process's event counters.
     """
 
-    def __init__(self, loop, member, state, book, send, times, time_of_day, lease_s, beat_s, find, counters):
+    def __init__(
+        self, loop, member, state, job_store, send, times, time_of_day, lease_s, heartbeat_s, find, counters
+    ):
         self._loop = loop
         self._member = member
         self._state = state
-        self._book = book
+        self._job_store = job_store
         self._send = send
         self._deadline_factors = times
         self._time_of_day = time_of_day
         self._lease_s = lease_s
-        self._beat_s = beat_s
+        self._heartbeat_s = heartbeat_s
         self._find = find
         self._count = counters.add
-        self.waits = Waits()
-        self._priorities = Wishes(PRIORITY_KEPT_LEASES * lease_s)
+        self.dependencies = DependencyIndex()
+        self._priorities = InheritedPriorities(PRIORITY_KEPT_LEASES * lease_s)
         self._unapplied_ends = deque()  # (job id, final record) whose consequences are still to be applied
         self._applying_ends = False
         self._unannounced_ends = []  # rows to be announced
@@ -70,17 +72,17 @@
 
     # Waiting jobs
 
-    def enter(self, job):
+    def add_waiting(self, job):
         """Takes over responsibility for a job whose record is stored.
 
         Returns whether it is held back or over; False if it may start now.
         """
-        if not job.waits:
+        if not job.is_waiting:
             return False
-        outcome = self.waits.add(job, self._final_state)
+        outcome = self.dependencies.add(job, self._final_state)
         if outcome is None:
-            for name in self.waits.left(job):
-                if job.foreign:
+            for name in self.dependencies.remaining(job):
+                if job.owned_by_predecessor:
                     self._read_now[name] = True
                 else:
                     self._schedule_read(name)
@@ -92,16 +94,16 @@
         if outcome == CANCELLED:
             self._cancel(job)
             return True
-        ends = [self._book.finals[name].get("e", 0.0) for name in job.spec.upstream]
+        ends = [self._job_store.final_records[name].get("e", 0.0) for name in job.spec.upstream]
         job.release(max(job.accepted_at, *ends) if all(ends) else self._time_of_day())
         return False
 
     def _final_state(self, name):
         """Returns the final state of a job known to be over, or None."""
-        record = self._book.finals.get(name)
+        record = self._job_store.final_records.get(name)
         return record and record["s"]
 
-    def over(self, job_id, record):
+    def on_job_ended(self, job_id, record):
         """Handles a job that is over, by a durable record or because an ancestor is cancelled.
 
         All consequences are applied one after the other, so that a chain of any length needs no recursion.
@@ -118,11 +120,11 @@
 
     def _apply_end(self, job_id, record):
         """Applies the consequences of one job's end to the jobs that wait for it."""
-        free, cancelled = self.waits.over(job_id, record["s"])
+        free, cancelled = self.dependencies.on_job_ended(job_id, record["s"])
         for job in free:
             self._count("jobs_released")
             job.release(max(job.accepted_at, record.get("e") or self._time_of_day()))
-            self._book.released(job)
+            self._job_store.on_upstream_done(job)
         for job in cancelled:
             self._cancel(job)
         for name in self._priorities.over(job_id):
@@ -133,40 +135,40 @@
         """Cancels a job because one of its dependencies is cancelled. None of its tasks was ever started."""
         self._count("jobs_cancelled_with_others")
         job.state = CANCELLED
-        self._book.end(job)
+        self._job_store.cancel_with_upstream(job)
 
-    def cancelled_above(self, spec):
+    def cancel_with_ancestor(self, spec):
         """Cancels a job just accepted, because by the records it has a cancelled ancestor."""
-        job = self.waits.jobs.get(spec.id)
+        job = self.dependencies.jobs.get(spec.id)
         if job is not None:
-            self.waits.remove(job)
+            self.dependencies.remove(job)
             self._cancel(job)
-        elif spec.id not in self._book.finals:
-            self._book.remember(spec.id, {"s": CANCELLED, "n": spec.tasks, "d": 0, "above": True})
+        elif spec.id not in self._job_store.final_records:
+            self._job_store.remember_final(spec.id, {"s": CANCELLED, "n": spec.tasks, "d": 0, "above": True})
 
     def on_cancelled(self, jobs):
         """Handles durable cancellations, announced by another controller or read from the state service."""
         for job_id in jobs:
-            if job_id in self.waits.needed:
-                self.over(job_id, {"s": CANCELLED})
+            if job_id in self.dependencies.dependents:
+                self.on_job_ended(job_id, {"s": CANCELLED})
 
-    def on_roster(self):
+    def on_owners_changed(self):
         """Forgets inherited waiting jobs, because the owners have changed.
 
         Others may now inherit the jobs whose records never named this owner. The scan that follows finds
         those that fall to this controller.
         """
-        for job in list(self.waits.jobs.values()):
-            if job.foreign:
-                self.waits.remove(job)
-                self._book.forget_waiting(job)
-        self.look_again()
+        for job in list(self.dependencies.jobs.values()):
+            if job.owned_by_predecessor:
+                self.dependencies.remove(job)
+                self._job_store.on_waiting_dropped(job)
+        self.recheck_upstream()
 
     # Announcements of jobs that are over
 
-    def told(self, job_id, record):
+    def announce_end(self, job_id, record):
         """Announces a final record that is durable, or follows from a durable one, to the others."""
-        if self._member.gate.open:
+        if self._member.format_gate.is_open:
             self._unannounced_ends.append(
                 (job_id, record["n"], record["d"], record.get("e", 0.0), record["s"] == CANCELLED)
             )
@@ -175,11 +177,11 @@
     def on_over(self, frame):
         """Handles another controller's announcement of jobs that are over."""
         for job_id, tasks, done, ended, cancelled in frame.rows:
-            if job_id not in self._book.finals:
+            if job_id not in self._job_store.final_records:
                 record = {"s": CANCELLED if cancelled else "done", "n": tasks, "d": done}
                 # Only cancellations caused by another job are announced in this way.
                 more = {**({"e": ended} if ended else {}), **({"above": True} if cancelled else {})}
-                self._book.remember(job_id, {**record, **more})
+                self._job_store.remember_final(job_id, {**record, **more})
 
     def _flush_soon(self):
         """Schedules the sending of announcements and priorities for the end of this turn of the loop."""
@@ -192,9 +194,9 @@
         self._flushing = False
         ends, self._unannounced_ends = self._unannounced_ends, []
         for at in range(0, len(ends), MAX_ROWS_PER_FRAME):
-            self._broadcast(frames.JobsOver(ends[at : at + MAX_ROWS_PER_FRAME]), True)
+            self._broadcast(frames.JobsEnded(ends[at : at + MAX_ROWS_PER_FRAME]), True)
         waiting_jobs, self._unsent_priorities = self._unsent_priorities, {}
-        self._send_priorities([job for job in waiting_jobs if job.id in self.waits.jobs])
+        self._send_priorities([job for job in waiting_jobs if job.id in self.dependencies.jobs])
 
     def _broadcast(self, frame, others):
         """Sends a frame to all members; `others` leaves out this controller."""
@@ -212,40 +214,40 @@
 
     def _send_priorities(self, jobs):
         """Sends the priorities that these waiting jobs pass to their dependencies."""
-        if not self._member.gate.open:
+        if not self._member.format_gate.is_open:
             return
         rows = []
         for job in jobs:
             wanted = wanted_of(job, self._deadline_factors.get(job.spec.klass))
             own = job.spec.due_s is not None and job.accepted_at + job.spec.due_s <= job.due_by
             end = job.id if own else self._priorities.end(job.id) or job.id
-            rows += [(name, job.id, *wanted, end) for name in self.waits.left(job)]
+            rows += [(name, job.id, *wanted, end) for name in self.dependencies.remaining(job)]
         for at in range(0, len(rows), MAX_ROWS_PER_FRAME):
-            self._broadcast(frames.Wishes(rows[at : at + MAX_ROWS_PER_FRAME]), False)
+            self._broadcast(frames.UpstreamPriorities(rows[at : at + MAX_ROWS_PER_FRAME]), False)
 
     def on_wishes(self, frame):
         """Handles the priorities that another owner's waiting jobs pass to jobs owned here."""
         now = self._loop.now()
         for name, by, *wanted in frame.rows:
-            if self._book.knows(name) and self._priorities.wish(name, by, *wanted, now):
+            if self._job_store.knows(name) and self._priorities.wish(name, by, *wanted, now):
                 self._update_priority(name)
 
     def _update_priority(self, job_id):
         """Applies the inherited priority of a job, which has changed or was known before the job was."""
-        waiting = self.waits.jobs.get(job_id)
-        job = waiting or self._book.jobs.get(job_id)
+        waiting = self.dependencies.jobs.get(job_id)
+        job = waiting or self._job_store.jobs.get(job_id)
         if job is None:
             return
         rank, due_by, last_by = self._priorities.of(job_id)
         rank = min(rank, RANK[job.spec.urgency])
         if (rank, due_by, last_by) == (job.rank, job.due_by, job.last_by):
             return
-        job.due_by, job.last_by, job.aims = due_by, last_by, None
+        job.due_by, job.last_by, job.targets = due_by, last_by, None
         if waiting is not None:
-            job.lift(rank)
+            job.raise_urgency(rank)
             self._queue_priorities(job)
         else:
-            self._book.lift(job, rank)
+            self._job_store.raise_urgency(job, rank)
 
     def at_risk(self, endangered):
         """Returns lines for operators about pipelines that are late or at risk.
@@ -256,7 +258,7 @@
         late = [
             (job.due_by, name)
             for name in self._priorities.wanted()
-            if (job := self._book.jobs.get(name)) is not None and endangered(job)
+            if (job := self._job_store.jobs.get(name)) is not None and endangered(job)
         ]
         late.sort()
         now = self._time_of_day()
@@ -271,28 +273,30 @@
 
     # Periodic work
 
-    def tick(self):
+    def refresh_priorities(self):
         """Runs with each heartbeat: repeats some priorities, and forgets those that were not repeated."""
         for name in self._priorities.expire(self._loop.now()):
             self._update_priority(name)
         repeated = []
         for _ in range(min(len(self._repeat_order), MAX_REPEATS_PER_HEARTBEAT)):
             job = self._repeat_order.popleft()
-            if self.waits.jobs.get(job.id) is job:
+            if self.dependencies.jobs.get(job.id) is job:
                 repeated.append(job)
                 self._repeat_order.append(job)
         if repeated:
             self._send_priorities(repeated)
 
-    def look_again(self):
+    def recheck_upstream(self):
         """Reads all upstream jobs owned elsewhere again, as messages may have been lost.
 
         That is possible when a link is new or an owner has ended.
         """
-        self._read_now.update(dict.fromkeys(name for name in self.waits.needed if not self._book.knows(name)))
+        self._read_now.update(
+            dict.fromkeys(name for name in self.dependencies.dependents if not self._job_store.knows(name))
+        )
         self._wake.set()
 
-    async def look(self):
+    async def poll_upstream(self):
         """Duty: reads the records of upstream jobs that are owned elsewhere.
 
         A job of which no message has come yet is read at once, the others now and then, so that a lost
@@ -301,10 +305,10 @@
         while True:
             batch = self._due_reads()
             if not batch:
-                await self._wake.wait(self._loop, self._beat_s)
+                await self._wake.wait(self._loop, self._heartbeat_s)
                 continue
             while not self._state.requests.spare(SPARE):
-                await self._loop.sleep(self._beat_s / 8)
+                await self._loop.sleep(self._heartbeat_s / 8)
             reads = [self._loop.spawn(self._read_upstream(name), "look") for name in batch]
             for routine in reads:
                 await routine.done
@@ -324,10 +328,10 @@
             batch.append(name)
         wanted = []
         for name in batch:
-            if name not in self.waits.needed:
+            if name not in self.dependencies.dependents:
                 continue
             self._schedule_read(name)
-            if self._book.knows(name):
+            if self._job_store.knows(name):
                 self._not_done(name)
             else:
                 wanted.append(name)
@@ -335,8 +339,8 @@
 
     def _not_done(self, name):
         """Notes that a job is not done: nobody can have started those that depend on it."""
-        for job in self.waits.needed.get(name, ()):
-            self._book.never_started(job)
+        for job in self.dependencies.dependents.get(name, ()):
+            self._job_store.never_started(job)
 
     def _schedule_read(self, name):
         """Schedules the next read of an upstream job."""
@@ -347,10 +351,10 @@
         """Reads the record of an upstream job and applies it."""
         try:
             record, _stamp = await self._find(name)
-        except (Unavailable, Unsure) as error:
+        except (UnavailableError, UnknownOutcomeError) as error:
             log.debug("upstream job %s could not be read: %r", name, error)
             return
         if record is not None and record["s"] != "open":
-            self._book.remember(name, record)
+            self._job_store.remember_final(name, record)
         else:
             self._not_done(name)
--- a/roadhead/pipelines/wishes.py
+++ b/roadhead/pipelines/inherited_priorities.py
@@ -10,7 +10,7 @@
 NONE = (99, math.inf, math.inf)  # no priority is passed: any urgency ranks higher
 
 
-class Wishes:
+class InheritedPriorities:
     """The priorities passed to jobs owned here, by target job and by the job that passes them.
 
     All deadlines are times of day in seconds. A priority that is not repeated is forgotten after `kept_s`
--- a/roadhead/pipelines/parts.py
+++ b/roadhead/pipelines/upstream_parts.py
@@ -9,8 +9,8 @@
 import secrets
 
 from roadhead.jobs.job import KEY
-from roadhead.shares.hashing import pick
-from roadhead.state.client import Conflict, TooLarge, Unavailable, Unsure
+from roadhead.shards.hashing import rendezvous_choice
+from roadhead.state.client import ConflictError, RequestTooLargeError, UnavailableError, UnknownOutcomeError
 
 log = logging.getLogger("roadhead.parts")
 
@@ -48,12 +48,12 @@
     nonce, count = record["up"]
     items, _revision = await state.list(f"{PARTS}{job_id}/{nonce}/")
     if len(items) != count:
-        raise Unavailable(f"dependency list of job {job_id} has {len(items)} parts, expected {count}")
+        raise UnavailableError(f"dependency list of job {job_id} has {len(items)} parts, expected {count}")
     names = [name for _key, value, _stamp in items for name in value["ids"]]
     return {**record, "spec": {**record["spec"], "upstream": names}}
 
 
-class Parts:
+class UpstreamParts:
     """Writes the parts of dependency lists, and deletes those left over."""
 
     def __init__(self, loop, state, member, time_of_day, lease_s):
@@ -86,9 +86,10 @@
                 stamp = await self._state.multi([], writes)
                 first = first or stamp
                 at += len(writes)
-            except TooLarge:
+            except RequestTooLargeError:
                 return None
-            except (Unavailable, Unsure) as error:  # the same values are written again under the same keys
+            # the same values are written again under the same keys
+            except (UnavailableError, UnknownOutcomeError) as error:
                 log.debug("dependency list of job %s was not written, trying again: %r", job_id, error)
                 await self._loop.sleep(self._lease_s / 48)
             if self._loop.now() > until:
@@ -100,11 +101,11 @@
         while True:
             await self._loop.sleep(2 * self._lease_s)
             member = self._member
-            if not member.joined or pick(member.term.members, "parts") != member.label:
+            if not member.joined or rendezvous_choice(member.term.members, "parts") != member.label:
                 continue
             try:
                 await self._collect_page()
-            except (Unavailable, Unsure, Conflict) as error:
+            except (UnavailableError, UnknownOutcomeError, ConflictError) as error:
                 log.debug("left-over parts of dependency lists were not deleted: %r", error)
 
     async def _collect_page(self):
