--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -366,7 +366,7 @@
         self.tenant_admission._node = self
         for number in range(jobs):
             job = Job(self.spec(number), ("here", 1), 0.0)
-            self.job_store._begin(job)
+            self.job_store._add_owned(job)
         self.fair_share = FairShare(
             self.tenant_admission.teams, self.job_store.accounts, lambda: (400.0, 0.0, 1600.0), 1e6, 1e7
         )
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -247,10 +247,10 @@
 
 def own_creation_is_not_recognized(patch):
     """5: whoever finds its own record after a lost answer takes it for somebody else's."""
-    real = JobStore._conflict
+    real = JobStore._on_conflict
 
     def conflict(self, job, record, stamp):
-        pending = self._settled(job)
+        pending = self._finish_creation(job)
         if pending is None:
             return real(self, job, record, stamp)
         self.recorder.cancel_write(job)
@@ -258,7 +258,7 @@
         return None
 
     patch.setattr(RecordWrite, "is_stored_as", lambda _self, _record: False)
-    patch.setattr(JobStore, "_conflict", conflict)
+    patch.setattr(JobStore, "_on_conflict", conflict)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -15,10 +15,10 @@
     """The write that takes a job over counts as the outcome of the creation of the same id."""
 
     def settled(job_store, job):
-        job_store._new.pop(job.id, None)
-        return job_store._creating.pop(job.id, None)
+        job_store._being_created.pop(job.id, None)
+        return job_store._creations.pop(job.id, None)
 
-    patch.setattr(JobStore, "_settled", settled)
+    patch.setattr(JobStore, "_finish_creation", settled)
 
 
 def outcomes_twice(patch):
@@ -26,7 +26,7 @@
 
     One found to exist while its own write is under way is settled again by that, which takes the job of its
     id out of the store."""
-    real = JobStore._conflict
+    real = JobStore._on_conflict
 
     async def settle(recorder, job):
         try:
@@ -37,13 +37,13 @@
             recorder._on_conflict(job, record, stamp)
 
     def conflict(job_store, job, record, stamp):
-        if not job.stamp and job_store._new.get(job.id) is not job:
-            job_store._leave(job)
+        if not job.stamp and job_store._being_created.get(job.id) is not job:
+            job_store._remove_owned(job)
             return
         real(job_store, job, record, stamp)
 
     patch.setattr(Recorder, "_settle", settle)
-    patch.setattr(JobStore, "_conflict", conflict)
+    patch.setattr(JobStore, "_on_conflict", conflict)
 
 
 def test_word_of_a_cancellation_reaches_a_job_that_is_submitted_again():
@@ -51,7 +51,7 @@
     world = World("controllers 1\nat 1 submit legs=2 runS=100\nuntil 20").run()
     job_store = world.nodes[0].job_store
     job = job_store.jobs["req-000001"]
-    job_store._new[job.id] = Job(job.spec, job.owner, job.accepted_at)
+    job_store._being_created[job.id] = Job(job.spec, job.owner, job.accepted_at)
     job_store.cancelled(job.id)
     assert job.state == "cancelled" and job.id in job_store._cancelled_early
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -260,7 +260,7 @@
     job_store.take_over([(job.record(1 << 15)[0], 5)])
     heir = job_store.jobs[job.id]
     assert heir.taking_over and [frame.jobs for frame in sent] == [[job.id]] * 2  # a home each
-    job_store._written(heir, heir.done, "open")
+    job_store._on_written(heir, heir.done, "open")
     node.loop.run_until(0.1)
     assert not heir.taking_over and [frame.jobs for frame in sent] == [[job.id]] * 4
     job_store.reassert_ownership(job.id)
