--- a/roadhead/dispatch/__init__.py
+++ b/roadhead/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Queues, the idle list and placement (JIQ-DIO's dispatcher)."""
+"""The job queue, the idle list and task placement of one controller: the dispatcher of JIQ-DIO."""
--- a/roadhead/dispatch/aims.py
+++ b/roadhead/dispatch/aims.py
@@ -1,11 +1,17 @@
-"""What the settings' objectives say of each class of jobs, as the queue and the renter use it."""
+"""The time targets of each job class, taken from the objectives in the settings.
+
+The queue orders jobs by them, and the renter decides by them how soon waiting work must start.
+"""
 
 from typing import NamedTuple
 
 
 class ClassAims(NamedTuple):
-    """Of a class, each in the order of the settings. `within`: seconds in which a job shall be finished;
-    `times`: multiples of a job's own due time; `waits`: seconds in which its tasks shall start."""
+    """The time targets of one job class, in the order of the settings.
+
+    `within`: seconds in which a job must finish; `times`: multiples of a job's own deadline by which it must
+    finish; `waits`: seconds in which its tasks must start.
+    """
 
     within: list
     times: list
@@ -13,7 +19,7 @@
 
 
 def shortest_aims(objectives):
-    """{class: the shortest time in seconds that any objective of it names}."""
+    """Returns {class: the shortest time in seconds that any of its objectives names}."""
     aims = {}
     for objective in objectives:
         if objective.within_s:
@@ -22,14 +28,14 @@
 
 
 def class_aims(objectives):
-    """{class: its ClassAims}."""
-    found = {}
+    """Returns {class: its ClassAims}."""
+    by_class = {}
     for objective in objectives:
-        aims = found.setdefault(objective.klass, ClassAims([], [], []))
+        aims = by_class.setdefault(objective.klass, ClassAims([], [], []))
         if objective.kind == "finished" and objective.within_s:
             aims.within.append(objective.within_s)
         elif objective.kind == "wait" and objective.within_s:
             aims.waits.append(objective.within_s)
         elif objective.kind == "deadline":
             aims.times.append(objective.times)
-    return found
+    return by_class
--- a/roadhead/dispatch/demand.py
+++ b/roadhead/dispatch/demand.py
@@ -1,19 +1,27 @@
-"""What waits, told to every home and to the renter."""
+"""Announces the demand of one controller: the tasks that wait here, sent to every home and to the renter."""
 
 from roadhead.dispatch.headroom import Part, SharedHeadroom
 from roadhead.fleet.limited import Mark, marked
 from roadhead.fleet.plan import DOUBTFUL
 from roadhead.wire import frames
 
-ROWS_MOST = 256  # of a Demand, so that a frame stays far below its bound
-BORROWED = 5  # added to the urgency of work beyond its team's guarantee, where teams share
-ON_WORD = 0.25  # of the CPUs that fall to this controller: rented at most on submissions nobody can check
+MAX_ROWS = 256  # rows of a Demand frame, which keeps it far below the frame size limit
+BORROWING_RANK_STEP = (
+    5  # added to the urgency of work beyond its team's guarantee, where teams share the fleet
+)
+# Share of this controller's part of the fleet's CPUs that may be rented for submissions that can't be
+# checked against the stored records, and so may be retries of jobs that have ended.
+UNVERIFIED_SHARE = 0.25
 
 
 class Teller:
-    """`listed()`: how many machines are on the idle list; `again()`: look at what waits once more."""
+    """Sends Demand frames to the members when the waiting work has changed, at most one per `gap_s`.
 
-    def __init__(self, loop, member, book, queue, send, counters, gap_s, listed, again):
+    `idle_count()` returns the length of the idle list; `request_pass()` schedules a placing pass, which calls
+    `tell()` at its end.
+    """
+
+    def __init__(self, loop, member, book, queue, send, counters, gap_s, idle_count, request_pass):
         self._loop = loop
         self._member = member
         self._book = book
@@ -21,42 +29,43 @@
         self._send = send
         self._count = counters.add
         self._gap_s = gap_s
-        self._listed = listed
-        self._again = again
-        self._told = None  # what homes go by; None: they may have lost count of it
-        self._looked_at = -1e9
+        self._idle_count = idle_count
+        self._request_pass = request_pass
+        # {(shape, startable, leads): count} as last sent; None if the homes' copy may be out of date.
+        self._announced = None
+        self._scanned_at = -1e9
         self._timer = None
 
     def forget(self):
-        """Homes may count as served what is not: it is said again."""
-        self._told = None
+        """Has the demand sent again: homes may count tasks as served that still wait."""
+        self._announced = None
 
     def refresh(self):
-        """Says again what waits, in case homes and renter have lost count of it."""
-        if self._told:
-            self._told = None
-            self._again()
+        """Sends the demand again, in case the copies of the homes and the renter are out of date."""
+        if self._announced:
+            self._announced = None
+            self._request_pass()
 
     def at_once(self):
-        """A controller joined or its link came up: it has yet to hear what waits here."""
-        self._told = None
-        self._looked_at = -1e9
+        """Has the demand sent with the next pass: a controller joined or its link came up."""
+        self._announced = None
+        self._scanned_at = -1e9
 
     def tell(self):
-        """What still waits, to every home: the room that fits it may then be granted here.
+        """Sends the demand to every member, so that homes grant machines that fit it to this controller.
 
-        The renter also hears of what is not startable yet: machines take long to come. What waits
-        is looked through once a gap at the most, not with every pass.
+        It includes tasks that can't start yet, since new machines take long to boot. The queue is
+        scanned at most once per `gap_s`, not with every placing pass.
         """
         now = self._loop.now()
-        if now < self._looked_at + self._gap_s:
+        if now < self._scanned_at + self._gap_s:
             if self._timer is None:
-                self._timer = self._loop.call_at(self._looked_at + self._gap_s, self._due)
+                self._timer = self._loop.call_at(self._scanned_at + self._gap_s, self._on_timer)
             return
-        parts = self._all_parts()
-        if not parts and not self._told and self._told is not None:
+        parts = self._collect_parts()
+        if not parts and not self._announced and self._announced is not None:
             return
-        self._looked_at = now
+        self._scanned_at = now
         rows = {}
         images = {}
         first = next((part for part in parts if part.startable and part.within), None)
@@ -68,18 +77,19 @@
         if self._queue.sharing is not None or any(leads for _shape, _startable, leads in rows):
             rows = dict(sorted(rows.items(), key=lambda item: item[1][3]))
         for part in parts:
-            # These come last: where rows are cut, first those that no room is needed for.
+            # Tasks beyond their team's limit come last: no machine is needed for them, so they are the first
+            # to go where the number of rows is cut.
             if part.within < part.count and part.mark is not Mark.PENDING:
                 self._add_row(rows, part, part.count - part.within, Mark.BEYOND)
-        told = {key: row[0] for key, row in rows.items()}
-        if told == self._told:
+        announced = {key: row[0] for key, row in rows.items()}
+        if announced == self._announced:
             return
-        if len(rows) > ROWS_MOST:
-            # The first in the queue are told; the others follow as those are served.
+        if len(rows) > MAX_ROWS:
+            # The first in the queue are sent; the others follow as those are served.
             self._count("demand_cut")
-        self._told = told
+        self._announced = announced
         frame = frames.Demand(
-            self._listed(),
+            self._idle_count(),
             [
                 (
                     rank,
@@ -101,33 +111,36 @@
                     work,
                     slack,
                     place,
-                ) in list(rows.items())[:ROWS_MOST]
+                ) in list(rows.items())[:MAX_ROWS]
             ],
-            list(images)[:ROWS_MOST],
+            list(images)[:MAX_ROWS],
         )
         for label in self._member.term.members:
             self._send(label, frame)
 
-    def _due(self):
+    def _on_timer(self):
         self._timer = None
-        self._again()
+        self._request_pass()
 
-    def _all_parts(self):
-        """What waits and what will shortly, each with how much of it its team's limit leaves room for."""
-        parts = [part for job in self._queue.waiting() for part in self._parts(job, True)]
-        for job in self._book.coming(ON_WORD * self._queue.capacity()):
+    def _collect_parts(self):
+        """Returns the Parts that wait or soon will, each with how much of it its team's limit admits."""
+        parts = [part for job in self._queue.waiting() for part in self._split(job, True)]
+        for job in self._book.coming(UNVERIFIED_SHARE * self._queue.capacity()):
             if job.free and not job.doubtful:
-                parts += self._parts(job, False)
+                parts += self._split(job, False)
         if self._book.quota.has_limits:
-            # What is startable comes first, and of that what comes first in the queue.
+            # Startable tasks get the headroom first, in queue order.
             SharedHeadroom(self._book.quota).share(
                 sorted(parts, key=lambda part: (not part.startable, part.place))
             )
         return parts
 
-    def _parts(self, job, startable):
-        """What waits of a job: the task that leads, and the others; where teams share, what is within its
-        team's guarantee, and the rest."""
+    def _split(self, job, startable):
+        """Returns the Parts of one job's waiting tasks.
+
+        The leading task is split from the others; where teams share the fleet, the tasks within the team's
+        guarantee are split from those that borrow.
+        """
         rank = DOUBTFUL if job.doubtful else job.rank
         count = max(1, job.startable() - job.gathered)
         if job.leads and startable:
@@ -135,17 +148,17 @@
             return [first, Part(job, count - 1, rank, job.later, True)][:count]
         if self._queue.sharing is None or not startable:
             return [Part(job, count, rank, job.place, startable, leads=job.leads)]
-        sure = min(job.sure, count)
+        guaranteed = min(job.sure, count)
         parts = [
-            Part(job, sure, rank, job.place, True),
-            Part(job, count - sure, rank + BORROWED, job.later, True),
+            Part(job, guaranteed, rank, job.place, True),
+            Part(job, count - guaranteed, rank + BORROWING_RANK_STEP, job.later, True),
         ]
         return [part for part in parts if part.count > 0]
 
     def _add_row(self, rows, part, count, mark):
-        # A group's tasks are of use only side by side: without a run time the renter
-        # finds room for all of them at once.
+        """Adds `count` tasks of the part to the row of its shape in `rows`."""
         job = part.job
+        # A gang's tasks must all run at once: with no run time in the row, the renter rents for all of them.
         work = 0.0 if job.gang else count * job.spec.estimate_s
         slack = self._queue.slack(job)
         shape = (marked(part.rank, mark), *job.shape[1:])
--- a/roadhead/dispatch/dispatcher.py
+++ b/roadhead/dispatch/dispatcher.py
@@ -1,19 +1,26 @@
-"""A dispatcher: the idle list of granted room, and random placement.
+"""Places waiting tasks on granted machines: the idle list of one controller, and random placement.
 
-No sockets here: grants come in as calls, frames go out through `send(home, frame)`.
+Homes grant free machines to a controller; until the grant lapses or is revoked, the controller alone may
+start tasks there. The module does no I/O: grants arrive as method calls, frames leave through
+`send(home, frame)`.
 """
 
 from roadhead.dispatch.demand import Teller
-from roadhead.dispatch.gangs import Gathering, seats
+from roadhead.dispatch.gangs import Gathering, assign_gang
 from roadhead.dispatch.queue import Queue
 from roadhead.homes.machine import fits, times
 from roadhead.wire import frames
 
-ROUNDS = 16  # of a placing pass, where teams share
+MAX_ROUNDS = 16  # further rounds of a placing pass where teams share by guarantee and weight
 
 
 class Listing:
-    """Granted room on the idle list. `unacked`: starts sent that the room does not allow for."""
+    """A granted machine on the idle list.
+
+    `room`: the free (cpus, gpus, memory); `serial`: the grant's number; `until`: when the grant lapses;
+    `taken`: how many starts the home has subtracted from the room it last reported; `unacked`: needs of the
+    starts sent since, which are subtracted here.
+    """
 
     __slots__ = (
         "home",
@@ -43,6 +50,7 @@
         self.until = until
 
     def update(self, frame, until):
+        """Takes over the room that a newer Grant frame reports, less the starts that it doesn't include."""
         del self.unacked[: max(0, frame.taken - self.taken)]
         self.taken = max(self.taken, frame.taken)
         self.until = until
@@ -52,14 +60,22 @@
             self._use(need)
 
     def _use(self, need):
+        """Subtracts a task's need from the room."""
         self.room = tuple(free - part for free, part in zip(self.room, need, strict=True))
 
     def take(self, need):
+        """Records a start that the home has yet to confirm."""
         self.unacked.append(need)
         self._use(need)
 
 
 class Dispatcher:
+    """The scheduler of the jobs that one controller owns.
+
+    `aims`: {class: ClassAims}; `gap_s`: the shortest time between two Demand frames; `window_s`: jobs due
+    within it of one another count as equally urgent.
+    """
+
     def __init__(
         self, loop, label, member, book, aims, random, send, counters, gap_s, window_s, default_aim_s
     ):
@@ -74,9 +90,9 @@
         self.idle = {}  # machine -> Listing
         self._placing = False
         self.queue = Queue(loop, book, aims, default_aim_s, gap_s, window_s)
-        self.preemption = None  # where teams share by guarantee and weight: who gets room back
-        self._gathering = Gathering(loop, window_s, random, self.changed)
-        self._teller = Teller(
+        self.preemption = None  # set where teams share by guarantee and weight: reclaims guaranteed room
+        self._gang_reservations = Gathering(loop, window_s, random, self.changed)
+        self._demand_reporter = Teller(
             loop,
             member,
             book,
@@ -87,11 +103,12 @@
             lambda: len(self.idle),
             self.changed,
         )
-        # In a placing pass: listings that may still take a task, and shapes that fit none of them.
-        self._open = []
-        self._full = set()
+        # State of a placing pass: listings that may still take a task, and the room shapes that fit none.
+        self._open_listings = []
+        self._unplaceable_shapes = set()
 
     def changed(self):
+        """Schedules a placing pass, unless one is scheduled already."""
         if not self._placing:
             self._placing = True
             self._loop.call_soon(self._place)
@@ -99,6 +116,7 @@
     # The idle list
 
     def on_grant(self, frame):
+        """A home grants a machine, or reports the new room of a granted one."""
         until = self._loop.now() + frame.lapse_s
         listing = self.idle.get(frame.machine)
         if listing is None or listing.serial != frame.serial:
@@ -108,24 +126,27 @@
         self.changed()
 
     def on_revoke(self, frame):
+        """A home takes a grant back."""
         listing = self.idle.get(frame.machine)
         if listing is not None and listing.serial <= frame.serial:
             del self.idle[frame.machine]
-            self._teller.forget()
+            self._demand_reporter.forget()
             self.changed()
 
     def on_refused(self, frame):
+        """A home refused a start: the listing is out of date, so the grant is returned."""
         listing = self.idle.pop(frame.machine, None)
-        self._teller.forget()
+        self._demand_reporter.forget()
         if listing is not None:
             self._send(listing.home, frames.Return(listing.id, listing.serial, len(self.idle)))
 
     def home_down(self, label):
+        """Drops the grants of a home whose link is down."""
         for name in [n for n, listing in self.idle.items() if listing.home == label]:
             del self.idle[name]
 
     def on_term(self, old, new):
-        """Grants hold as long as the machine's home and token do, and the home's incarnation."""
+        """Drops grants of machines whose home or fencing token has changed, or whose home has restarted."""
         if old is None:
             self.idle.clear()
         for name, listing in list(self.idle.items()):
@@ -133,21 +154,22 @@
                 listing.home
             ):
                 del self.idle[name]
-        self._teller.forget()
+        self._demand_reporter.forget()
         self.changed()
 
     def refresh(self):
-        """Says again what waits, in case homes and renter have lost count of it."""
-        self._teller.refresh()
+        """Sends the demand again, in case the copies of the homes and the renter are out of date."""
+        self._demand_reporter.refresh()
 
     def tell_again(self):
-        """A controller joined or its link came up: it has yet to hear what waits here."""
-        self._teller.at_once()
+        """Sends the demand again at once: a controller joined or its link came up."""
+        self._demand_reporter.at_once()
         self.changed()
 
     # Placing
 
     def _allowed(self, job, listing):
+        """Whether the job's rules on spot machines, zones and types let it use the machine."""
         spec = job.spec
         if listing.spot and not spec.spot:
             return False
@@ -159,52 +181,53 @@
 
     @staticmethod
     def _zone_allowed(job, zone):
-        """`together` and `scatter`, counting every task that may be on a machine."""
+        """Checks the zone rules `together` and `scatter` against every task that may be on a machine."""
         spec = job.spec
-        if spec.one_zone and any(b.zone != zone for b in job.bound.values()):
+        if spec.one_zone and any(binding.zone != zone for binding in job.bound.values()):
             return False
         if spec.spread:
-            here = sum(binding.zone == zone for binding in job.bound.values())
-            return here < (spec.tasks + 1) // 2
+            in_zone = sum(binding.zone == zone for binding in job.bound.values())
+            return in_zone < (spec.tasks + 1) // 2
         return True
 
     def _place(self):
-        """One pass: places what it can, in queue order, and hands back what is of no use.
+        """Runs one placing pass: starts what fits, in queue order, and returns grants that nothing fits.
 
-        It costs what it places and the jobs that come before that in the queue, not all that wait:
-        it ends once no listing is left that could take the smallest of what waits.
+        Its cost grows with the tasks placed and the jobs ahead of them in the queue, not with all that
+        wait: it ends once no listing has room for the smallest waiting task.
         """
         self._placing = False
         if self._member.term is None:
-            return  # tenants may be there before the first term is
+            return  # tenants may be known before the first term
         self.queue.refresh()
-        self._gathering.begin()
+        self._gang_reservations.begin()
         if self.idle:
             starts = {}  # machine -> {job: [(index, attempt)]}
-            self._full.clear()
-            self._look_open()
+            self._unplaceable_shapes.clear()
+            self._collect_open_listings()
             left = self._place_all(starts)
-            for _ in range(ROUNDS if self.queue.sharing is not None else 0):
-                # Whoever borrows gets no further ahead than a quantum before it is the next one's turn.
-                if not self._open or not any(
-                    not job.part and job.room_shape not in self._full for job in self.queue.waiting()
+            for _ in range(MAX_ROUNDS if self.queue.sharing is not None else 0):
+                # In each round a borrowing tenant gets at most one quantum ahead of the next one.
+                if not self._open_listings or not any(
+                    not job.part and job.room_shape not in self._unplaceable_shapes
+                    for job in self.queue.waiting()
                 ):
                     break
                 self.queue.refresh(anew=True)
                 left = self._place_all(starts)
             self._finish(left, starts)
-        self._teller.tell()
+        self._demand_reporter.tell()
         if self.preemption is not None:
             self.preemption.waits(
                 [job for job in self.queue.waiting() if job.sure > 0 and self.may_start(job)]
             )
 
-    def _look_open(self):
-        """Listings with room for the smallest of what waits; those kept for gangs are left out."""
+    def _collect_open_listings(self):
+        """Sets the open listings: those with room for the smallest waiting task, not reserved for gangs."""
         now = self._loop.now()
         cpus, memory = self.queue.least
-        kept = self._gathering.kept
-        self._open = [
+        kept = self._gang_reservations.kept
+        self._open_listings = [
             listing
             for listing in self.idle.values()
             if listing.room[0] >= cpus - 1e-6
@@ -214,33 +237,36 @@
         ]
 
     def _place_all(self, starts):
-        """Goes through the queue while room is open. Returns {room shape: a job of it} of what still
-        waits and may fit some of it: all of that, if room is open still."""
+        """Starts tasks in queue order while listings are open.
+
+        Returns {room shape: a job of it} for the jobs still waiting that may fit an open listing. If any
+        listing is still open, no such shape is missing.
+        """
         left = {}
-        full = self._full
-        for group in self._groups(self.queue.waiting()):
+        unplaceable = self._unplaceable_shapes
+        for group in self._group_by_due_time(self.queue.waiting()):
             for with_image in (True, False):
                 for job in group:
-                    if not self._open:
+                    if not self._open_listings:
                         return left
                     if job.gang:
                         if with_image and job.startable():
-                            self._place_gang(job, starts)
-                    elif job.free.left and job.room_shape not in full:
-                        self._place_job(job, with_image, starts)
+                            self._start_gang(job, starts)
+                    elif job.free.left and job.room_shape not in unplaceable:
+                        self._start_tasks_of(job, with_image, starts)
             for job in group:
-                if job.room_shape not in full and job.startable() > 0 and self.may_start(job):
+                if job.room_shape not in unplaceable and job.startable() > 0 and self.may_start(job):
                     left[job.room_shape] = job
         return left
 
     def may_start(self, job):
-        """Whether its team's limit leaves room for one more task."""
+        """Whether the job's team limit admits one more of its tasks, or all of them for a gang."""
         if not self._book.quota.limited(job.spec.team):
             return True
         return times(job.need, self._book.quota.headroom(job.spec.team)) >= (len(job.free) if job.gang else 1)
 
-    def _groups(self, waiting):
-        """Runs of the queue due at about the same time: there images decide who goes first."""
+    def _group_by_due_time(self, waiting):
+        """Yields runs of jobs due within `window_s`, among which those go first whose image is cached."""
         group = []
         latest = 0.0
         for job in waiting:
@@ -255,62 +281,71 @@
             yield group
 
     def _fitting(self, job):
-        """The open listings that have room for a task of the job."""
+        """Returns the open listings that have room for a task of the job and that it may use."""
         need = job.need
-        return [listing for listing in self._open if fits(need, listing.room) and self._allowed(job, listing)]
+        return [
+            listing
+            for listing in self._open_listings
+            if fits(need, listing.room) and self._allowed(job, listing)
+        ]
 
-    def _place_gang(self, job, starts):
-        """Starts all of a gang's tasks, or keeps the room there is until there is enough."""
+    def _start_gang(self, job, starts):
+        """Starts all of a gang's tasks, or reserves the listings that fit until there are enough."""
         if not self.may_start(job) or (self.queue.sharing is not None and job.part <= 0):
             return
-        chosen, whole = seats(job, self._fitting(job), self._random)
-        if not whole:
-            self._gathering.keep(job, chosen)
-            self._look_open()
+        chosen, is_complete = assign_gang(job, self._fitting(job), self._random)
+        if not is_complete:
+            self._gang_reservations.keep(job, chosen)
+            self._collect_open_listings()
             return
-        self._gathering.started(job)
+        self._gang_reservations.started(job)
         attempt = self._book.attempt()
         for listing, count in chosen.items():
             tasks = starts.setdefault(listing.id, {}).setdefault(job, [])
             for _ in range(count):
                 listing.take(job.need)
                 tasks.append(self._book.bind(job, listing.id, listing.zone, attempt))
-        self._look_open()
+        self._collect_open_listings()
+
+    def _start_tasks_of(self, job, with_image, starts):
+        """Starts tasks of a job on the listings that fit.
 
-    def _place_job(self, job, with_image, starts):
-        """What a task waits for its image counts as waiting: machines that have it come first."""
+        With `with_image` only machines that have the job's image count: fetching it would delay the start.
+        """
         image = job.spec.image
-        if with_image and image and not any(image in listing.images for listing in self._open):
+        if with_image and image and not any(image in listing.images for listing in self._open_listings):
             return
         fitting = self._fitting(job)
         if not fitting:
             self._count("empty_list")
-            self._full.add(job.room_shape)
+            self._unplaceable_shapes.add(job.room_shape)
             return
         if with_image and image:
             fitting = [listing for listing in fitting if image in listing.images]
-        zoned = job.spec.one_zone or job.spec.spread
-        if fitting and self._fill(job, job.need, zoned, fitting, starts):
-            self._look_open()
+        has_zone_rule = job.spec.one_zone or job.spec.spread
+        if fitting and self._fill_listings(job, job.need, has_zone_rule, fitting, starts):
+            self._collect_open_listings()
+
+    def _fill_listings(self, job, need, has_zone_rule, fitting, starts):
+        """Starts the job's tasks on `fitting` listings, drawn at random; returns whether any started.
 
-    def _fill(self, job, need, zoned, fitting, starts):
-        """Starts the job's tasks on `fitting` listings, drawn at random and filled one by one; True if
-        any started. The tasks that share a machine share one fetch of their image.
+        Each listing is filled before the next is drawn: the tasks on one machine share one fetch of their
+        image.
         """
         spec = job.spec
-        alone = self.queue.sharing is None
+        unshared = self.queue.sharing is None
         left = None
         started = False
         if self._book.quota.limited(spec.team):
             left = self._book.quota.headroom(spec.team)
-        while job.free and fitting and (alone or job.part > 0):
+        while job.free and fitting and (unshared or job.part > 0):
             place = self._random.randrange(len(fitting))
             listing = fitting[place]
             fitting[place] = fitting[-1]
             fitting.pop()
             tasks = None
-            while job.free and fits(need, listing.room) and (alone or job.part > 0):
-                if zoned and not self._zone_allowed(job, listing.zone):
+            while job.free and fits(need, listing.room) and (unshared or job.part > 0):
+                if has_zone_rule and not self._zone_allowed(job, listing.zone):
                     break
                 if job.doubtful and job.startable() <= 0:
                     return started
@@ -322,50 +357,51 @@
                     tasks = starts.setdefault(listing.id, {}).setdefault(job, [])
                 listing.take(need)
                 started = True
-                if not alone:
+                if not unshared:
                     job.part -= 1
                     job.sure -= job.sure > 0
                 tasks.append(self._book.bind(job, listing.id, listing.zone))
                 if job.leads:
                     job.leads = False
-                    self._book.version += 1  # the others of its tasks come later
+                    self._book.version += 1  # reorders the queue: its other tasks have a later position
                     return started
         return started
 
     def _finish(self, left, starts):
-        """Sends the starts. Room that nothing waiting fits goes back at once, with the last of them.
+        """Sends the starts, and returns grants that no waiting task fits, with their last start if any.
 
-        `left`: what still waits, as `_place_all` returns it. A listing that is open no longer is of no
-        use, unless it is kept for a gang or its time is up, when its home takes it back.
+        `left`: the jobs still waiting, as `_place_all` returns them. A listing that is no longer open is
+        useless, unless it is reserved for a gang or has lapsed, in which case its home takes it back.
         """
         now = self._loop.now()
-        opened = {listing.id for listing in self._open}
-        waits = None
+        open_ids = {listing.id for listing in self._open_listings}
+        may_start_any = None
         for listing in list(self.idle.values()):
             jobs = starts.get(listing.id)
-            if listing.id in opened:
-                useless = not any(
+            if listing.id in open_ids:
+                is_useless = not any(
                     fits(job.need, listing.room) and self._allowed(job, listing) for job in left.values()
                 )
             else:
-                useless = listing.until > now and listing.id not in self._gathering.kept
-            if useless:
+                is_useless = listing.until > now and listing.id not in self._gang_reservations.kept
+            if is_useless:
                 del self.idle[listing.id]
                 if not listing.taken and not listing.unacked:
-                    if waits is None:
-                        waits = any(self.may_start(job) for job in self.queue.waiting())
-                    if waits:
-                        # The home took part of what waits for served by this grant: say it again.
-                        self._teller.forget()
+                    if may_start_any is None:
+                        may_start_any = any(self.may_start(job) for job in self.queue.waiting())
+                    if may_start_any:
+                        # The home counted waiting tasks as served by this grant, so send the demand again.
+                        self._demand_reporter.forget()
             if jobs:
                 last = len(jobs)
                 for job, tasks in jobs.items():
                     last -= 1
-                    self._start(job, listing, tasks, useless and not last)
-            elif useless:
+                    self._send_start(job, listing, tasks, is_useless and not last)
+            elif is_useless:
                 self._send(listing.home, frames.Return(listing.id, listing.serial, len(self.idle)))
 
-    def _start(self, job, listing, tasks, last):
+    def _send_start(self, job, listing, tasks, last):
+        """Sends the start of tasks of one job; `last`: the grant is returned with it."""
         spec = job.spec
         self._send(
             listing.home,
--- a/roadhead/dispatch/gangs.py
+++ b/roadhead/dispatch/gangs.py
@@ -1,72 +1,76 @@
-"""Jobs whose tasks are of use only together: they start side by side, or not at all.
+"""Gang scheduling: a job whose tasks are useful only together starts all of them at once, or none.
 
-The exception to random placement, as small as it can be: a gang's tasks start in one placing pass
-of its owner, all under one attempt, by which machines know who belongs together. Until its idle
-list has room for all of them it keeps what it was granted from the jobs behind it, for a bounded
-time; then it rests, so that others get the room and two gangs can't lock each other.
+This is the one exception to random placement. All tasks of a gang start in one placing pass of the job's
+owner and under one attempt number, by which machines recognise tasks that belong together. While the idle
+list has too little room for the whole gang, the owner reserves what fits and withholds it from the jobs
+behind it, for a bounded time. The gang then backs off, so that other jobs get the room and two gangs can't
+deadlock by each holding half of what they need.
 """
 
 from roadhead.homes.machine import times
 
-GATHER_WINDOWS = 2.5  # for which room is kept at the most, as for large tasks (homes/rooms.py)
-REST_WINDOWS = 1.0  # for which it is then left to others, at the least
+MAX_RESERVE_WINDOWS = 2.5  # the longest reservation, as for large tasks (homes/rooms.py)
+MIN_BACKOFF_WINDOWS = 1.0  # the shortest pause before the next reservation
 
 
-def seats(job, listings, random):
-    """({listing: tasks that start there}, whether they are all of the job's): the most that one
-    choice of zones takes, on machines drawn at random and filled one by one.
+def assign_gang(job, listings, random):
+    """Returns ({listing: tasks to start there}, whether that is the whole gang).
 
-    A gang of one zone takes the zone with most room; of one that is spread, no zone takes more
-    than half (PROTOCOL: `together`, `scatter`).
+    Listings are drawn at random and filled one by one. A gang with `one_zone` gets the zone in which most of
+    its tasks fit; with `spread`, no zone gets more than half of the tasks (PROTOCOL: `together`, `scatter`).
     """
     wanted = len(job.free)
     drawn = random.sample(listings, len(listings))
     zones = {listing.zone for listing in listings} if job.spec.one_zone else (None,)
-    best, most = {}, -1
+    best, best_count = {}, -1
     for zone in sorted(zones, key=lambda zone: zone or ""):
-        chosen, left, here = {}, wanted, {}
+        chosen, left, per_zone = {}, wanted, {}
         for listing in drawn:
             if zone is not None and listing.zone != zone:
                 continue
             count = min(left, times(job.need, listing.room))
             if job.spec.spread:
-                count = min(count, (job.spec.tasks + 1) // 2 - here.get(listing.zone, 0))
+                count = min(count, (job.spec.tasks + 1) // 2 - per_zone.get(listing.zone, 0))
             if count > 0:
                 chosen[listing] = count
-                here[listing.zone] = here.get(listing.zone, 0) + count
+                per_zone[listing.zone] = per_zone.get(listing.zone, 0) + count
                 left -= count
-        if wanted - left > most:
-            best, most = chosen, wanted - left
-    return best, most == wanted
+        if wanted - left > best_count:
+            best, best_count = chosen, wanted - left
+    return best, best_count == wanted
 
 
 class Gathering:
-    """Which listings are kept for gangs in this pass, and since when each gang gathers."""
+    """The listings reserved for gangs in the current placing pass.
 
-    def __init__(self, loop, window_s, random, again):
+    `window_s`: the unit of the reservation and backoff times; `request_pass()` schedules a placing pass.
+    """
+
+    def __init__(self, loop, window_s, random, request_pass):
         self._loop = loop
         self._window_s = window_s
         self._random = random
-        self._again = again  # () -> None: look at what waits once more
-        self.kept = set()  # machines listed whose room waits for the rest
+        self._request_pass = request_pass
+        self.kept = set()  # ids of the machines whose listings are reserved
 
     def begin(self):
-        """A placing pass begins."""
+        """Starts a placing pass, with nothing reserved."""
         self.kept.clear()
 
     def keep(self, job, chosen):
-        """The room chosen is kept for the gang, unless it has had its time."""
+        """Reserves the chosen listings for the gang, or makes it back off once it reserved for too long."""
         now = self._loop.now()
         if not job.gathering_since:
             job.gathering_since = now
-        if now - job.gathering_since > GATHER_WINDOWS * self._window_s:
-            rest_s = self._window_s * (REST_WINDOWS + self._random.random())
-            job.not_before, job.gathering_since, job.gathered = now + rest_s, 0.0, 0
-            self._loop.call_later(rest_s, self._again)
+        if now - job.gathering_since > MAX_RESERVE_WINDOWS * self._window_s:
+            backoff_s = self._window_s * (MIN_BACKOFF_WINDOWS + self._random.random())
+            job.not_before, job.gathering_since, job.gathered = now + backoff_s, 0.0, 0
+            self._loop.call_later(backoff_s, self._request_pass)
             return
         job.gathered = sum(chosen.values())
         self.kept.update(listing.id for listing in chosen)
 
     @staticmethod
     def started(job):
+        """Ends the reservation of a gang that has started."""
         job.gathered, job.gathering_since = 0, 0.0
--- a/roadhead/dispatch/headroom.py
+++ b/roadhead/dispatch/headroom.py
@@ -1,14 +1,15 @@
-"""What limits of teams leave room for, shared out among the jobs that wait."""
+"""Divides the headroom under teams' limits among their waiting jobs, so that demand doesn't exceed it."""
 
 from roadhead.fleet.limited import Mark
 from roadhead.homes.machine import times
 
 
 class Part:
-    """Tasks of a job that wait, of one urgency and place in the queue.
+    """Waiting tasks of one job that have the same urgency and position in the queue.
 
-    `startable`: they could start now; `leads`: the first task of a job that comes early. `within`: as many of
-    them as their team's limit leaves room for, `mark`: how it bears on those.
+    `startable`: whether they could start now; `leads`: whether this is the leading task of a job whose first
+    task is queued ahead of the others; `within`: how many of them the team's limit admits; `mark`: the state
+    of that limit.
     """
 
     __slots__ = ("count", "job", "leads", "mark", "place", "rank", "startable", "within")
@@ -25,17 +26,17 @@
 
 
 class SharedHeadroom:
-    """One sharing out of what limits leave: what a job gets is no longer there for those behind it."""
+    """One division of the headroom: what an earlier job is given is gone for the jobs behind it."""
 
     def __init__(self, quota):
         self._quota = quota
-        self._left = {}  # level -> [cpus, gpus] still free under its limit
-        self._levels = {}  # team -> names of its levels, None: nothing of it starts from here
-        self._cut = set()  # levels with more work than room
-        self._gangs = {}  # gang -> whether the limit leaves room for all of it
+        self._free_by_level = {}  # level -> (cpus, gpus) still free under its limit
+        self._levels_by_team = {}  # team -> its levels' names; None if none of its tasks may start here
+        self._exhausted = set()  # levels with more waiting work than headroom
+        self._gang_fits = {}  # gang -> whether the limit admits all of its tasks
 
     def share(self, parts):
-        """Sets `within` and `mark` of each part; `parts` in the order in which they would start."""
+        """Sets `within` and `mark` of each part. `parts` come in the order in which they would start."""
         limited = [part for part in parts if self._quota.limited(part.job.spec.team)]
         for part in limited:
             part.within = self._take(part.job, part.count)
@@ -43,37 +44,39 @@
             part.mark = self._mark(part.job.spec.team)
 
     def _mark(self, team):
-        levels = self._levels[team]
+        levels = self._levels_by_team[team]
         if levels is None or not self._quota.counted(team):
             return Mark.PENDING
-        return Mark.PLAIN if self._cut.isdisjoint(levels) else Mark.WITHIN
+        return Mark.PLAIN if self._exhausted.isdisjoint(levels) else Mark.WITHIN
 
     def _take(self, job, wanted):
+        """Returns how many of `wanted` tasks the limits admit, and takes them from the headroom."""
         levels = self._levels_of(job.spec.team)
         if levels is None:
             return 0
-        if job.gang and job in self._gangs:
-            return wanted if self._gangs[job] else 0
-        least = max(wanted, len(job.free)) if job.gang else 1
-        most = max(wanted, least)
+        if job.gang and job in self._gang_fits:
+            return wanted if self._gang_fits[job] else 0
+        minimum = max(wanted, len(job.free)) if job.gang else 1
+        admitted = max(wanted, minimum)
         for name in levels:
-            room = times(job.need, self._left[name])
-            if room < most:
-                self._cut.add(name)
-                most = room
-        if most < least:
-            most = 0
+            fitting = times(job.need, self._free_by_level[name])
+            if fitting < admitted:
+                self._exhausted.add(name)
+                admitted = fitting
+        if admitted < minimum:
+            admitted = 0
         if job.gang:
-            self._gangs[job] = most > 0
+            self._gang_fits[job] = admitted > 0
         for name in levels:
-            cpus, gpus = self._left[name]
-            self._left[name] = (cpus - most * job.spec.cpus, gpus - most * job.spec.gpus)
-        return min(most, wanted)
+            cpus, gpus = self._free_by_level[name]
+            self._free_by_level[name] = (cpus - admitted * job.spec.cpus, gpus - admitted * job.spec.gpus)
+        return min(admitted, wanted)
 
     def _levels_of(self, team):
-        if team not in self._levels:
+        """Returns the names of the team's levels, whose headroom is known from then on, or None."""
+        if team not in self._levels_by_team:
             rooms = self._quota.level_rooms(team)
-            self._levels[team] = None if rooms is None else tuple(rooms)
-            for name, room in (rooms or {}).items():
-                self._left.setdefault(name, room)
-        return self._levels[team]
+            self._levels_by_team[team] = None if rooms is None else tuple(rooms)
+            for name, free in (rooms or {}).items():
+                self._free_by_level.setdefault(name, free)
+        return self._levels_by_team[team]
--- a/roadhead/dispatch/queue.py
+++ b/roadhead/dispatch/queue.py
@@ -1,7 +1,7 @@
-"""The queue order: which of the jobs owned here comes first.
+"""Decides the order in which the jobs owned by this controller start their tasks.
 
-Kept sorted for a while; what arrives meanwhile is put in its place, so that neither an arrival nor
-a placing pass costs what waits.
+The sorted order is reused for a while, and jobs that arrive meanwhile are inserted into it, so that neither
+an arrival nor a placing pass has to sort all waiting jobs.
 """
 
 import heapq
@@ -10,195 +10,217 @@
 
 from roadhead.jobs.book import LARGER_PART
 
-NO_AIMS = ((), (), ())
-HOPE = 0.7  # of the estimated run time: less than that left, and an aim is taken for lost
-TIERS = (0, 1, 2, 2)  # by urgency: the urgent come strictly first, the others by what is due
-TIER_DOUBTFUL = 3  # jobs that fail wherever they run come last
-TIER_STEP = 1e4  # windows between tiers
-RANK_STEP = 2.5  # windows by which each step of urgency comes earlier within a tier
-AIMLESS = 10  # times the aim assumed by default: the slack of jobs of which nothing is expected
-HOPELESS = 0.25  # of its age by which a job without aims in reach still moves forward
-STARVED_AIMS = 2  # times the aim assumed by default: older than that, a job counts as not served
-SERVED_LEAST = 0.55  # of a class's, or a team's, jobs: below that the oldest of them come first
-LARGEST_WAITS = 8  # windows, after which a class's larger jobs that have not begun lead, with one task each
-TIER_STARVED = -1
-JOBS_A_GAP = 2000  # put in order at once; with more than that the order is kept longer
+NO_TARGETS = ((), (), ())
+# A target counts as missed once less than this part of the job's estimated run time is left until it.
+MIN_RUN_TIME_PART = 0.7
+# By rank of urgency: the first two ranks come strictly before all others, which share a tier and are
+# ordered by slack.
+TIER_BY_RANK = (0, 1, 2, 2)
+DOUBTFUL_TIER = 3  # jobs that fail wherever they run come last
+TIER_STEP_WINDOWS = 1e4  # between tiers
+RANK_STEP_WINDOWS = 2.5  # by which each rank of urgency comes earlier within a tier
+NO_TARGET_SLACK_FACTOR = 10  # slack of a job without any target, in default targets
+AGING_RATE = 0.25  # seconds of slack that a job with no reachable target loses per second of its age
+STARVATION_FACTOR = 2  # a job that waits for longer than so many default targets counts as starved
+MIN_SERVED_SHARE = 0.55  # of the jobs of a class or team: below it, its oldest starved jobs are boosted
+LARGE_JOB_WAIT_WINDOWS = 8  # after which a large job that has not begun starts one task early
+STARVED_TIER = -1  # boosted jobs come first
+SORTED_JOBS_PER_GAP = 2000  # with more jobs in the queue, the order is reused for longer than `gap_s`
 
 
 class Queue:
-    """`gap_s`: how long an order is kept, `window_s`: what is due within it of one another is equally
-    urgent, `capacity()`: CPUs that fall to this controller. `aims`: class -> (seconds to be complete
-    within, times of its deadline, seconds to start within)."""
+    """The jobs owned here, ordered by urgency and by slack: the time until their tasks must start.
 
-    def __init__(self, loop, book, aims, default_aim_s, gap_s, window_s):
+    `targets`: {class: ClassAims}; `default_aim_s`: the target assumed for a class without one; `gap_s`: how
+    long an order is reused; `window_s`: the unit of positions: jobs due within it of one another count as
+    equally urgent; `capacity()`: the CPUs of this controller's part of the fleet.
+    """
+
+    def __init__(self, loop, book, targets, default_aim_s, gap_s, window_s):
         self._loop = loop
         self._book = book
-        self._aims = aims
+        self._class_targets = targets
         self._default_aim_s = default_aim_s
         self._gap_s = gap_s
         self._window_s = window_s
-        self._order = []  # open jobs, as of `_ordered_at`, and those that arrived since
-        self._ordered_at = -1e9
-        self._ordered = 0  # the book's version then
-        self.least = (0.0, 0.0)  # (cpus, memory): no task waiting takes less
+        self._sorted_jobs = []  # the open jobs when it was last sorted, and those that arrived since
+        self._sorted_at = -1e9
+        self._sorted_version = 0  # the book's version when it was last sorted
+        self.least = (0.0, 0.0)  # (cpus, memory): no waiting task needs less
         self.time_of_day = None
         self.capacity = lambda: 0.0
-        self.sharing = None  # where teams share by guarantee and weight: the order among them
+        self.sharing = None  # set where teams share by guarantee and weight: orders the teams
 
     def slack(self, job):
-        """Seconds until its tasks must start."""
-        return self._aim(job)[0]
+        """Returns the seconds until the job's tasks must start; negative if they are overdue."""
+        return self._slack_and_deferral(job)[0]
 
-    def _aim(self, job):
-        """(seconds until its tasks must start for the first of its aims still in reach, seconds
-        from there to the next aim).
+    def _slack_and_deferral(self, job):
+        """Returns (seconds until the job's tasks must start for its next target, seconds that it gains if it
+        is deferred to the target after that).
 
-        An aim that even a task started now would miss is lost: time is better spent on
-        others' aims, so the next one counts, and without one the job comes after those. A job
-        that never had an aim gets the room that would lie idle.
+        A target that even a task started now would miss no longer counts, since the time is better spent on
+        the targets of others; the next one does. A job with no target left comes after those that have one.
+        A job that never had one gets the room that would lie idle.
         """
-        since = self.time_of_day() - job.accepted_at
-        aims = job.aims
-        if aims is None:
-            within, times, waits = self._aims.get(job.spec.klass, NO_AIMS)
+        age_s = self.time_of_day() - job.accepted_at
+        targets = job.aims
+        if targets is None:
+            finish_within, deadline_factors, start_within = self._class_targets.get(
+                job.spec.klass, NO_TARGETS
+            )
             due_s = job.spec.due_s
-            deadlines = [due_s * factor for factor in times or (1.0,)] if due_s is not None else []
+            deadlines = [due_s * factor for factor in deadline_factors or (1.0,)] if due_s is not None else []
             deadlines += {due - job.accepted_at for due in (job.due_by, job.last_by) if due < math.inf}
             run_s = job.spec.estimate_s
-            held_s = job.released_at - job.accepted_at  # by jobs that it needs: all but its deadline waits
-            # (latest start, when it is taken for lost)
-            aims = job.aims = sorted(
+            # Time spent waiting for the jobs that this one needs: it extends every target but the deadlines.
+            held_s = job.released_at - job.accepted_at
+            # (latest start, when the target is given up), both in seconds after acceptance
+            targets = job.aims = sorted(
                 [
                     *(
-                        (aim - run_s, aim - HOPE * run_s)
-                        for aim in (*(aim + held_s for aim in within), *deadlines)
+                        (target_s - run_s, target_s - MIN_RUN_TIME_PART * run_s)
+                        for target_s in (*(target_s + held_s for target_s in finish_within), *deadlines)
                     ),
-                    *((aim + held_s, aim + held_s) for aim in waits),
+                    *((target_s + held_s, target_s + held_s) for target_s in start_within),
                 ]
             )
-        for at, (latest, lost) in enumerate(aims):
-            if lost >= since:
-                later = aims[at + 1][0] - latest if at + 1 < len(aims) else self._default_aim_s
-                return latest - since, later
-        since -= job.released_at - job.accepted_at
-        if not aims and job.spec.kind != "daemon":
-            return AIMLESS * self._default_aim_s - HOPELESS * since, self._default_aim_s
-        hopeless = max(self._default_aim_s, aims[-1][0] if aims else 0.0) - HOPELESS * since
-        return hopeless, self._default_aim_s
-
-    def _set_place(self, job):
-        """(slack, seconds to the next aim) of the job, which gets its place; the less, the earlier."""
-        slack, later = self._aim(job)
-        tier = TIER_DOUBTFUL if job.doubtful else TIERS[job.rank]
-        job.place = slack + (tier * TIER_STEP + job.rank * RANK_STEP) * self._window_s
-        return slack, later
-
-    def _put_in_order(self):
-        """Sets each job's place in the queue.
-
-        Urgency and slack decide, as long as all can be in time. When there is more work than
-        that, what must be late should be as few jobs as can be: in order of what is due, the
-        job that costs most is put back whenever the next would be late (Moore and Hodgson's
-        rule for one machine, here for the CPUs that fall to this controller). Aims are shares
-        of a class's jobs, so a job weighs the less the more its class has. Nothing is put
-        back for the sake of the less urgent.
+        for at, (latest_start_s, given_up_s) in enumerate(targets):
+            if given_up_s >= age_s:
+                deferral_s = (
+                    targets[at + 1][0] - latest_start_s if at + 1 < len(targets) else self._default_aim_s
+                )
+                return latest_start_s - age_s, deferral_s
+        age_s -= job.released_at - job.accepted_at
+        if not targets and job.spec.kind != "daemon":
+            return NO_TARGET_SLACK_FACTOR * self._default_aim_s - AGING_RATE * age_s, self._default_aim_s
+        overdue_slack = max(self._default_aim_s, targets[-1][0] if targets else 0.0) - AGING_RATE * age_s
+        return overdue_slack, self._default_aim_s
+
+    def _set_position(self, job):
+        """Sets the job's position, lower ones first. Returns the same as `_slack_and_deferral`."""
+        slack, deferral_s = self._slack_and_deferral(job)
+        tier = DOUBTFUL_TIER if job.doubtful else TIER_BY_RANK[job.rank]
+        job.place = slack + (tier * TIER_STEP_WINDOWS + job.rank * RANK_STEP_WINDOWS) * self._window_s
+        return slack, deferral_s
+
+    def _sort(self):
+        """Sorts the jobs by urgency and slack, and defers some where not all can be in time.
+
+        With more work than capacity, as few jobs as possible should be late. Following the Moore-Hodgson
+        algorithm for one machine, here applied to the CPUs of this controller's part of the fleet, jobs
+        are taken in order of their due times, and whenever one would be late, the costliest job so far is
+        deferred to its next target. The objectives are shares of a class's jobs, so a job weighs less the
+        more jobs its class has. No job is deferred for the sake of a less urgent one.
         """
         capacity = max(1e-6, self.capacity())
-        lifted, leading = self._lifted() if self.sharing is None else ({}, {})
+        boosted, leading = self._boosted() if self.sharing is None else ({}, {})
         jobs = []
         for job in self._book.jobs.values() if self.sharing is None else self.sharing.candidates():
-            slack, later = self._set_place(job)
-            job.place, job.leads = lifted.get(job, job.place), False
-            size = 0.0 if job.doubtful else job.spec.cpus * job.spec.estimate_s
-            jobs.append((job.place, slack, len(job.free) * size / capacity, later, job))
+            slack, deferral_s = self._set_position(job)
+            job.place, job.leads = boosted.get(job, job.place), False
+            task_cpu_s = 0.0 if job.doubtful else job.spec.cpus * job.spec.estimate_s
+            jobs.append((job.place, slack, len(job.free) * task_cpu_s / capacity, deferral_s, job))
         jobs.sort(key=lambda entry: entry[0])
-        ready_s = 0.0
-        kept = {}  # rank -> heap of (-cost, number)
-        for number, (_place, slack, needs_s, _later, job) in enumerate(jobs):
-            if not needs_s:
+        completion_s = 0.0
+        scheduled = {}  # rank -> heap of (-cost, number)
+        for number, (_place, slack, duration_s, _deferral_s, job) in enumerate(jobs):
+            if not duration_s:
                 continue
-            ready_s += needs_s
-            cost = needs_s * self._book.seen.get(job.spec.klass, 1)
-            heapq.heappush(kept.setdefault(job.rank, []), (-cost, number))
-            while ready_s > slack:
-                heap = min((heap for rank, heap in kept.items() if rank >= job.rank and heap), default=None)
+            completion_s += duration_s
+            cost = duration_s * self._book.seen.get(job.spec.klass, 1)
+            heapq.heappush(scheduled.setdefault(job.rank, []), (-cost, number))
+            while completion_s > slack:
+                heap = min(
+                    (heap for rank, heap in scheduled.items() if rank >= job.rank and heap), default=None
+                )
                 if heap is None:
                     break
-                _cost, back = heapq.heappop(heap)
-                ready_s -= jobs[back][2]
-                jobs[back][4].place += jobs[back][3]  # to its next aim
-                if back == number:
+                _cost, deferred = heapq.heappop(heap)
+                completion_s -= jobs[deferred][2]
+                jobs[deferred][4].place += jobs[deferred][3]  # to its next target
+                if deferred == number:
                     break
         for job, place in leading.items():
             job.later, job.place, job.leads = job.place, place, True
-        self._order = sorted((entry[4] for entry in jobs), key=lambda job: job.place)
+        self._sorted_jobs = sorted((entry[4] for entry in jobs), key=lambda job: job.place)
         self.least = (
-            min((job.spec.cpus for job in self._order), default=0.0),
-            min((job.spec.memory for job in self._order), default=0.0),
+            min((job.spec.cpus for job in self._sorted_jobs), default=0.0),
+            min((job.spec.memory for job in self._sorted_jobs), default=0.0),
         )
         if self.sharing is not None:
             self.sharing.arrange(list(self.waiting()))
-            self._order.sort(key=lambda job: job.place)
+            self._sorted_jobs.sort(key=lambda job: job.place)
 
-    def _lifted(self):
-        """({job: its place}, {job: the place of its first task}): the exceptions to urgency, by which of each
-        class, and each team, at least so much is served in the end, and the largest jobs begin.
+    def _boosted(self):
+        """Returns ({job: its position}, {job: the position of its first task}) of jobs that come early.
 
-        Work of little urgency would get nothing for as long as what comes before it fills the machines.
-        Only jobs that waited for twice the time in which anything should be done count, and of those only
-        as many are lifted as the class lacks, the oldest. What is put back first where not all can be in
-        time, a class's larger jobs, begins sooner: with one task, since all of theirs would cost the most.
+        This prevents starvation: jobs of low urgency would get nothing while more urgent ones fill the
+        machines. Of each class and each team at least MIN_SERVED_SHARE is served. Only jobs that waited for
+        twice the default target count as starved, and only as many of them, the oldest, are boosted as are
+        missing from that share. The large jobs of a class, which are the first to be deferred under
+        overload, are boosted sooner, but for one task each, since all of their tasks would cost the most.
         """
         now = self.time_of_day()
-        since = now - STARVED_AIMS * self._default_aim_s
-        begun_by = now - LARGEST_WAITS * self._window_s
-        old, places, leading = {}, {}, {}
+        starved_before = now - STARVATION_FACTOR * self._default_aim_s
+        begun_by = now - LARGE_JOB_WAIT_WINDOWS * self._window_s
+        starved, places, leading = {}, {}, {}
         for job in self._book.jobs.values():
             if job.released_at >= begun_by or job.state != "open" or job.doubtful:
                 continue
-            if job.released_at < since:
+            if job.released_at < starved_before:
                 for key in ("class", job.spec.klass), ("team", job.spec.team):
-                    old.setdefault(key, []).append(job)
-            if job.released_at < begun_by - LARGEST_WAITS * self._window_s and self._book.among_largest(job):
-                old.setdefault(("largest", job.spec.klass), []).append(job)
+                    starved.setdefault(key, []).append(job)
+            if (
+                job.released_at < begun_by - LARGE_JOB_WAIT_WINDOWS * self._window_s
+                and self._book.among_largest(job)
+            ):
+                starved.setdefault(("largest", job.spec.klass), []).append(job)
             if not job.bound and not job.done.count and self._book.among_largest(job, LARGER_PART):
-                leading[job] = TIER_STARVED * TIER_STEP * self._window_s + job.released_at - since
-        for key, waiting in old.items():
+                leading[job] = (
+                    STARVED_TIER * TIER_STEP_WINDOWS * self._window_s + job.released_at - starved_before
+                )
+        for key, waiting in starved.items():
             served = self._book.served.get(key, 0)
-            lacking = SERVED_LEAST * (served + len(waiting)) - served
-            if lacking <= 0:
+            missing = MIN_SERVED_SHARE * (served + len(waiting)) - served
+            if missing <= 0:
                 continue
             waiting.sort(key=lambda job: job.released_at)
-            for job in waiting[: math.ceil(lacking)]:
-                places[job] = TIER_STARVED * TIER_STEP * self._window_s + job.released_at - since
-        # A gang begins with all of its tasks or not at all.
+            for job in waiting[: math.ceil(missing)]:
+                places[job] = (
+                    STARVED_TIER * TIER_STEP_WINDOWS * self._window_s + job.released_at - starved_before
+                )
+        # A gang starts with all of its tasks or not at all, so all of them are boosted.
         places.update({job: place for job, place in leading.items() if job.gang})
         return places, {job: place for job, place in leading.items() if job not in places}
 
     def refresh(self, anew=False):
-        """What is due grows alike for most jobs, so the order is kept for a while; `anew`: not now."""
+        """Sorts the queue if `anew` or if the order is out of date, else inserts the jobs that arrived.
+
+        The order stays nearly right for a while, since the slack of most jobs falls alike.
+        """
         now = self._loop.now()
         arrived = self._book.arrived
-        kept_s = self._gap_s * max(1.0, len(self._order) / JOBS_A_GAP)
+        valid_s = self._gap_s * max(1.0, len(self._sorted_jobs) / SORTED_JOBS_PER_GAP)
         if (
             anew
-            or self._ordered != self._book.version
-            or now - self._ordered_at > kept_s
+            or self._sorted_version != self._book.version
+            or now - self._sorted_at > valid_s
             or (arrived and self.sharing is not None)
         ):
-            self._put_in_order()
-            self._ordered, self._ordered_at = self._book.version, now
+            self._sort()
+            self._sorted_version, self._sorted_at = self._book.version, now
         else:
             for job in arrived:
-                self._set_place(job)
-                insort(self._order, job, key=lambda job: job.place)
+                self._set_position(job)
+                insort(self._sorted_jobs, job, key=lambda job: job.place)
                 self.least = min(self.least[0], job.spec.cpus), min(self.least[1], job.spec.memory)
         arrived.clear()
 
     def waiting(self):
-        """Jobs with startable tasks, in order."""
+        """Yields the jobs with startable tasks, in order."""
         now = self._loop.now()
-        for job in self._order:
+        for job in self._sorted_jobs:
             if (
                 job.free.left
                 and job.state == "open"
