--- a/roadhead/__main__.py
+++ b/roadhead/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m roadhead` is the same program as `run.py`."""
+"""Runs the command line for `python -m roadhead`, as `run.py` does."""
 
 import sys
 
--- a/roadhead/admission/__init__.py
+++ b/roadhead/admission/__init__.py
@@ -1,1 +1,1 @@
-"""What a controller lets in, so that it can keep serving whoever it let in."""
+"""Admission control: what a controller accepts, so that it can serve all that it has accepted."""
--- a/roadhead/admission/feasibility.py
+++ b/roadhead/admission/feasibility.py
@@ -1,4 +1,4 @@
-"""Whether a job can ever run: decided by what the settings and the cloud's catalogue say alone."""
+"""Decides whether a job can ever run, from the settings and the cloud's catalogue alone."""
 
 import msgspec
 
@@ -6,15 +6,15 @@
 
 
 def why_never(spec, teams, types, value_bytes):
-    """Why no machine can ever run the job, for its user, or None if one can.
+    """Returns why no machine can ever run the job, as text for its user, or None if one can.
 
     `teams`: the teams and their limits; `types`: {name: machine type} of the catalogue; `value_bytes`: the
-    size of a value in the state service.
+    size limit of a value in the state service.
     """
     if teams.get(spec.team) is None:
         return "unknown team"
-    head = msgspec.structs.replace(spec, upstream=None)
-    if size_of(head) > value_bytes:
+    description = msgspec.structs.replace(spec, upstream=None)
+    if size_of(description) > value_bytes:
         return "its description is larger than the state service takes"
     if _above_limits(spec, teams.most(spec.team)):
         return "more than the team's limit"
@@ -24,16 +24,17 @@
 
 
 def _above_limits(spec, limits):
-    """Whether what must run at once, a task or a whole service, is more than one of the limits; 0 is none."""
-    times = spec.tasks if spec.kind == "daemon" else 1
+    """Whether what must run at once, one task or a whole service, exceeds a limit; 0 is no limit."""
+    count = spec.tasks if spec.kind == "daemon" else 1
     return any(
-        most and need * times > most
+        limit and need * count > limit
         for level in limits
-        for need, most in zip((spec.cpus, spec.gpus), level, strict=True)
+        for need, limit in zip((spec.cpus, spec.gpus), level, strict=True)
     )
 
 
 def _fits(spec, kind):
+    """Whether an empty machine of this type can run a task of the job."""
     return (
         spec.cpus <= kind.cpus
         and spec.gpus <= kind.gpus
--- a/roadhead/admission/sockets.py
+++ b/roadhead/admission/sockets.py
@@ -1,31 +1,35 @@
-"""How a controller's sockets are shared out: pure decisions, in parts of its limit.
+"""Divides a controller's sockets among users, workers and services, as shares of its limit.
 
-The state service and the other controllers come first, then users and probes, then workers: a
-worker can be served over a new connection for every report, a user who finds no socket is not
-served at all. So however many machines one controller answers, its sockets suffice.
+The state service and the other controllers come first, then users and health probes, then workers: a worker
+can open a new connection for every report, but a user who finds no free socket isn't served at all. So the
+sockets suffice however many machines report to one controller.
 """
 
-INBOUND = 0.6  # connections of users, probes and workers
-KEPT_WORKERS = 0.4  # of them workers' that stay open between reports
-ORDERS = 0.1  # requests to workers under way at once
-KEPT_ORDERS = 0.2  # connections to workers that stay open between requests
-# What is left, a tenth, is for the state service, the cloud and the other controllers.
+INBOUND_SHARE = 0.6  # of all sockets: connections from users, probes and workers
+WORKER_SHARE = 0.4  # of all sockets, within the inbound ones: workers' connections kept between reports
+COMMAND_SHARE = 0.1  # of all sockets: commands to workers in flight at once
+IDLE_COMMAND_SHARE = 0.2  # of all sockets: connections to workers kept between commands
+# The remaining tenth is for the state service, the cloud and the other controllers.
 
 
 class Sockets:
-    """`limit`: sockets that the process may have (`quota.fd_limit` of the settings)."""
+    """Counts open connections against their shares.
+
+    `limit`: the sockets that the process may have (`quota.fd_limit` of the settings); `count(name)` counts an
+    event.
+    """
 
     def __init__(self, limit, count):
-        self.inbound_most = max(4, int(INBOUND * limit))
-        self.workers_most = max(1, int(KEPT_WORKERS * limit))
-        self.orders_most = max(2, int(ORDERS * limit))
-        self.orders_kept = int(KEPT_ORDERS * limit)
+        self.inbound_most = max(4, int(INBOUND_SHARE * limit))
+        self.workers_most = max(1, int(WORKER_SHARE * limit))
+        self.orders_most = max(2, int(COMMAND_SHARE * limit))
+        self.orders_kept = int(IDLE_COMMAND_SHARE * limit)
         self._count = count
         self._inbound = 0
         self._workers = 0
 
     def admit(self):
-        """Whether one more connection may come in."""
+        """Returns whether one more connection may be accepted, and counts it if so."""
         if self._inbound >= self.inbound_most:
             self._count("connections_refused")
             return False
@@ -33,7 +37,7 @@
         return True
 
     def keep_worker(self):
-        """Whether one more connection turns out to be a worker's and may stay open."""
+        """Returns whether a connection found to be a worker's may stay open, and counts it if so."""
         if self._workers >= self.workers_most:
             self._count("workers_sent_off")
             return False
@@ -41,6 +45,6 @@
         return True
 
     def gone(self, worker):
-        """A connection has ended; `worker`: it was kept for one."""
+        """A connection was closed; `worker`: whether it was counted as a worker's."""
         self._inbound -= 1
         self._workers -= worker
--- a/roadhead/cli.py
+++ b/roadhead/cli.py
@@ -1,4 +1,7 @@
-"""The command line."""
+"""The command line: `serve` runs a controller, `submit`, `status` and others ask a running one.
+
+Modules are imported inside the functions, so that a controller loads only what it needs.
+"""
 
 import argparse
 import json
@@ -10,7 +13,7 @@
 
 
 def _parser(hosting):
-    """`hosting`: with the verbs that a controller's start-up need not know."""
+    """Returns the argument parser; `hosting`: whether it includes the verbs for administering tenants."""
     parser = argparse.ArgumentParser(
         prog="roadhead", description="A cluster scheduler: runs jobs on rented machines."
     )
@@ -74,8 +77,10 @@
 
 
 def call(address, method, path, body=None, hosted=None):
-    """(status, answer) of a controller, asked in the name of a hosted service's operators where its
-    file is given. Raises OSError."""
+    """Sends a request to a controller and returns (status, answer).
+
+    `hosted`: the settings file of a hosted service, with whose secret the request is signed. Raises OSError.
+    """
     import http.client
 
     import cbor2
@@ -102,7 +107,7 @@
 
 
 def ask(args):
-    """The verbs that talk to a running controller."""
+    """Runs the verbs that ask a running controller. Returns the exit status."""
     from roadhead.settings import SettingsError
 
     if args.verb == "submit":
@@ -140,6 +145,7 @@
 
 
 def render_summary(answer):
+    """Returns the answer to `/v1/summary` as text."""
     lines = [f"{'class':24} {'open':>6} {'done':>6} {'late':>6} {'at risk':>8}"]
     for row in answer["classes"]:
         lines.append(f"{row['class']:24} {row['open']:6} {row['done']:6} {row['late']:6} {row['atRisk']:8}")
@@ -154,6 +160,7 @@
 
 
 def render_shares(answer):
+    """Returns the answer to `/v1/shares` as text."""
     lines = [f"{'home':24} {'shares':>6} {'machines':>8}"]
     for row in answer["homes"]:
         shares = "-" if row["shares"] is None else row["shares"]
@@ -183,7 +190,7 @@
 
 
 def local(args):
-    """A cluster on this machine."""
+    """Runs a whole cluster on this machine. Returns the exit status."""
     import tempfile
 
     from roadhead.local import cluster
@@ -202,6 +209,7 @@
 
 
 def gateway(path):
+    """Runs a gateway with the settings file `path`. Returns the exit status."""
     from roadhead.gateway.gateway import Gateway
     from roadhead.runtime.loop import Loop
     from roadhead.runtime.net import Net
@@ -217,7 +225,7 @@
 
 
 def desk_of(loop, path):
-    """The controller's side of hosting, where a file says so; else None."""
+    """Returns the controller's Desk for tenants if `path` names a file with its settings, else None."""
     if not path:
         return None
     from roadhead.tenants.desk import Desk
@@ -227,6 +235,7 @@
 
 
 def serve(settings, tuning, hosted):
+    """Runs a controller until it is asked to end. Returns the exit status."""
     import gc
     import signal
 
@@ -239,7 +248,7 @@
     loop = Loop()
     node = Node(loop, Net(loop), settings, tuning, hosted=desk_of(loop, hosted))
     node.start()
-    # The loop looks at it with its next timer, a beat later at the most.
+    # The loop notices the callback at its next timer, at most one heartbeat later.
     signal.signal(signal.SIGTERM, lambda *_: loop.call_soon(node.leave, loop.stop))
     signal.signal(signal.SIGUSR1, lambda *_: loop.call_soon(node.decisions.dump, _to_standard_error))
     gc.freeze()
@@ -252,7 +261,7 @@
 
 
 def main(argv=None):
-    """Runs the command line; the exit status."""
+    """Runs the command line. Returns the exit status."""
     from roadhead.telemetry import LogLevelError
 
     try:
--- a/roadhead/cloud/__init__.py
+++ b/roadhead/cloud/__init__.py
@@ -1,1 +1,1 @@
-"""The client of the cloud."""
+"""The client for the cloud's API, which rents machines."""
--- a/roadhead/cloud/client.py
+++ b/roadhead/cloud/client.py
@@ -1,4 +1,7 @@
-"""Requests to the cloud, within its rate."""
+"""The client for the cloud's API: the catalogue, the machine list, renting and releasing machines.
+
+Its requests stay within this controller's part of the cloud's rate limit. Nothing is retried here.
+"""
 
 from roadhead.runtime.rate import Bucket
 from roadhead.wire import messages
@@ -6,7 +9,7 @@
 
 
 class CloudTrouble(Exception):
-    """No usable answer; `sent` tells whether the request may have been executed."""
+    """The cloud gave no usable answer; `sent`: whether the request may have been executed."""
 
     def __init__(self, text, sent=True):
         super().__init__(text)
@@ -14,10 +17,12 @@
 
 
 class NoCapacity(Exception):
-    pass
+    """The cloud has no machine of the wanted type, zone and kind."""
 
 
 class CloudClient:
+    """`limits`: the cloud's limits for the whole deployment, which `nodes` controllers share equally."""
+
     def __init__(self, loop, net, address, limits, nodes):
         self._http = Client(loop, net, address, max_idle=2)
         rate = limits.rps / nodes
@@ -50,26 +55,31 @@
             raise CloudTrouble(str(error)) from None
 
     async def catalogue(self):
+        """Returns {type name: machine type}. Raises CloudTrouble."""
         answer = await self._read(messages.Catalogue, "GET", "/catalog")
         return {kind.name: kind for kind in answer.types}
 
     async def machines(self):
-        """All machines listed."""
-        found = []
+        """Returns all rented machines, page by page. Raises CloudTrouble or NoCapacity."""
+        machines_found = []
         after = ""
         while True:
             target = "/hosts?limit=500" + (f"&after={after}" if after else "")
             page = await self._read(messages.MachineList, "GET", target)
-            found += page.machines
+            machines_found += page.machines
             if not page.more or not page.machines:
-                return found
+                return machines_found
             after = page.machines[-1].id
 
     async def hire(self, name, kind, zone, spot, count):
+        """Rents machines, and returns the names of those that there was capacity for.
+
+        The same `name` sent again returns the same machines. Raises CloudTrouble or NoCapacity.
+        """
         body = messages.encode({"hire": name, "rig": kind, "paddock": zone, "loaners": spot, "count": count})
         answer = await self._read(messages.Rented, "POST", "/hosts", body)
         return answer.machines
 
     async def release(self, machines):
-        """Once this returns, the machines and all on them are gone."""
+        """Releases machines; once this returns, they and all tasks on them have ended."""
         await self._call("POST", "/hosts/release", messages.encode({"drovers": list(machines)}))
--- a/roadhead/decision_log.py
+++ b/roadhead/decision_log.py
@@ -1,7 +1,8 @@
-"""The decisions on which it rests that no task runs twice, in order and bounded: a flight recorder.
+"""A flight recorder of the decisions that prevent a task from running twice.
 
-Each entry can be filtered by machine, task, shard and token. The newest are kept in memory whatever the log
-level, so that they can be printed after a broken rule; docs/operations.md says how to read them.
+The newest entries are kept in memory in order, whatever the log level, so that they can be printed after a
+safety violation. They can be filtered by machine, task, shard and token. docs/operations.md says how to read
+them.
 """
 
 import enum
@@ -11,24 +12,24 @@
 
 log = logging.getLogger("roadhead.decisions")
 
-KEPT_MOST = 4000  # entries: some 2 MB
+MAX_ENTRIES = 4000  # about 2 MB
 
 
 class Decision(enum.Enum):
     """What was decided. The value is its name in the log."""
 
-    SHARD_HELD = "shard_held"  # this controller leads a shard under a token, and until when others may have
+    SHARD_HELD = "shard_held"  # this controller leads a shard under a token; others may have until some time
     SHARD_LOST = "shard_lost"
     FENCE_LENGTHENED = "fence_lengthened"
-    REPORT_OVERTAKEN = "report_overtaken"  # answered, though the worker was heard by a newer message
+    REPORT_OVERTAKEN = "report_overtaken"  # answered, though a newer message of the worker has arrived
     LEASE_ENDED = "lease_ended"
     LAUNCH_SENT = "launch_sent"
-    TASK_FREED = "task_freed"  # the attempt is surely nowhere
-    ALL_TOLD = "all_told"  # an owner was told all that is known of its jobs
-    AUTHORITY_LOST = "authority_lost"  # while a command waited to be sent
+    TASK_FREED = "task_freed"  # the attempt surely runs nowhere any more
+    ALL_TOLD = "all_told"  # an owner was sent everything known about its jobs
+    AUTHORITY_LOST = "authority_lost"  # the right to command ended while a command waited to be sent
 
 
-AT_INFO = frozenset(
+INFO_DECISIONS = frozenset(
     (
         Decision.SHARD_HELD,
         Decision.SHARD_LOST,
@@ -36,13 +37,16 @@
         Decision.LEASE_ENDED,
         Decision.AUTHORITY_LOST,
     )
-)  # those that do not grow with the work done
+)  # logged at info: their number doesn't grow with the work done
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One decision. `at`: the time of day in seconds; `subject`: the names of what it is about, such as
-    machine, task, shard and token; `evidence`: what it rested on."""
+    """One decision.
+
+    `at`: the time of day in seconds; `subject`: {kind: id} of what it is about, such as machine, task, shard
+    and token; `evidence`: {name: value} of the facts that it is based on.
+    """
 
     at: float
     decision: Decision
@@ -50,44 +54,47 @@
     evidence: dict
 
     def line(self):
-        """One line of the log, in the form name=value."""
+        """Returns the entry as one log line of name=value pairs."""
         fields = {"decision": self.decision.value, **self.subject, **self.evidence}
-        return " ".join(f"{name}={_text(value)}" for name, value in fields.items())
+        return " ".join(f"{name}={_format_value(value)}" for name, value in fields.items())
 
     def is_about(self, wanted):
-        """Whether any of the wanted names and values, as in {"machine": "n-000020"}, is in its subject."""
+        """Whether the subject has any of the `wanted` (name, value) pairs, as ("machine", "n-000020")."""
         return any(self.subject.get(name) == value for name, value in wanted)
 
 
-def _text(value):
+def _format_value(value):
     return f"{value:.2f}" if isinstance(value, float) else str(value)
 
 
 class DecisionLog:
-    """`time_of_day()` in seconds; `counters`: of this process (telemetry.py)."""
+    """The newest decisions of this process.
+
+    `time_of_day()` returns seconds; `counters`: the process's Counters (telemetry.py).
+    """
 
     def __init__(self, time_of_day, counters):
         self._time_of_day = time_of_day
         self._count = counters.add
-        self._entries = deque(maxlen=KEPT_MOST)
+        self._ring = deque(maxlen=MAX_ENTRIES)
 
     def note(self, decision, subject, **evidence):
-        """Notes a decision on `subject`, a map of names, and what it rested on."""
+        """Records a decision on `subject`, {kind: id}, and the facts that it is based on."""
         entry = Entry(self._time_of_day(), decision, subject, evidence)
-        self._entries.append(entry)
-        level = logging.INFO if decision in AT_INFO else logging.DEBUG
+        self._ring.append(entry)
+        level = logging.INFO if decision in INFO_DECISIONS else logging.DEBUG
         if log.isEnabledFor(level):
             log.log(level, "%s", entry.line())
 
     def count(self, name):
-        """Counts an event in this process's counters."""
+        """Increments one of the process's counters."""
         self._count(name)
 
     def entries(self, *wanted):
-        """The entries kept that are about any of the wanted (name, value) pairs; all without any."""
-        return [entry for entry in self._entries if not wanted or entry.is_about(wanted)]
+        """Returns the kept entries about any of the `wanted` (name, value) pairs; all without any."""
+        return [entry for entry in self._ring if not wanted or entry.is_about(wanted)]
 
     def dump(self, write):
-        """Calls `write` with a line for each entry kept, its time of day first."""
-        for entry in self._entries:
+        """Calls `write` with one line for each kept entry, which starts with its time of day."""
+        for entry in self._ring:
             write(f"at={entry.at:.3f} {entry.line()}")
--- a/roadhead/dispatch/dispatcher.py
+++ b/roadhead/dispatch/dispatcher.py
@@ -6,7 +6,7 @@
 """
 
 from roadhead.dispatch.demand import Teller
-from roadhead.dispatch.gangs import Gathering, assign_gang
+from roadhead.dispatch.gangs import Gathering, place_gang
 from roadhead.dispatch.queue import Queue
 from roadhead.homes.machine import fits, times
 from roadhead.wire import frames
@@ -92,7 +92,7 @@
         self.queue = Queue(loop, book, aims, default_aim_s, gap_s, window_s)
         self.preemption = None  # set where teams share by guarantee and weight: reclaims guaranteed room
         self._gang_reservations = Gathering(loop, window_s, random, self.changed)
-        self._demand_reporter = Teller(
+        self._demand_broadcaster = Teller(
             loop,
             member,
             book,
@@ -130,13 +130,13 @@
         listing = self.idle.get(frame.machine)
         if listing is not None and listing.serial <= frame.serial:
             del self.idle[frame.machine]
-            self._demand_reporter.forget()
+            self._demand_broadcaster.forget()
             self.changed()
 
     def on_refused(self, frame):
         """A home refused a start: the listing is out of date, so the grant is returned."""
         listing = self.idle.pop(frame.machine, None)
-        self._demand_reporter.forget()
+        self._demand_broadcaster.forget()
         if listing is not None:
             self._send(listing.home, frames.Return(listing.id, listing.serial, len(self.idle)))
 
@@ -154,16 +154,16 @@
                 listing.home
             ):
                 del self.idle[name]
-        self._demand_reporter.forget()
+        self._demand_broadcaster.forget()
         self.changed()
 
     def refresh(self):
         """Sends the demand again, in case the copies of the homes and the renter are out of date."""
-        self._demand_reporter.refresh()
+        self._demand_broadcaster.refresh()
 
     def tell_again(self):
         """Sends the demand again at once: a controller joined or its link came up."""
-        self._demand_reporter.at_once()
+        self._demand_broadcaster.at_once()
         self.changed()
 
     # Placing
@@ -216,7 +216,7 @@
                 self.queue.refresh(anew=True)
                 left = self._place_all(starts)
             self._finish(left, starts)
-        self._demand_reporter.tell()
+        self._demand_broadcaster.tell()
         if self.preemption is not None:
             self.preemption.waits(
                 [job for job in self.queue.waiting() if job.sure > 0 and self.may_start(job)]
@@ -293,7 +293,7 @@
         """Starts all of a gang's tasks, or reserves the listings that fit until there are enough."""
         if not self.may_start(job) or (self.queue.sharing is not None and job.part <= 0):
             return
-        chosen, is_complete = assign_gang(job, self._fitting(job), self._random)
+        chosen, is_complete = place_gang(job, self._fitting(job), self._random)
         if not is_complete:
             self._gang_reservations.keep(job, chosen)
             self._collect_open_listings()
@@ -391,7 +391,7 @@
                         may_start_any = any(self.may_start(job) for job in self.queue.waiting())
                     if may_start_any:
                         # The home counted waiting tasks as served by this grant, so send the demand again.
-                        self._demand_reporter.forget()
+                        self._demand_broadcaster.forget()
             if jobs:
                 last = len(jobs)
                 for job, tasks in jobs.items():
--- a/roadhead/dispatch/gangs.py
+++ b/roadhead/dispatch/gangs.py
@@ -13,7 +13,7 @@
 MIN_BACKOFF_WINDOWS = 1.0  # the shortest pause before the next reservation
 
 
-def assign_gang(job, listings, random):
+def place_gang(job, listings, random):
     """Returns ({listing: tasks to start there}, whether that is the whole gang).
 
     Listings are drawn at random and filled one by one. A gang with `one_zone` gets the zone in which most of
--- a/roadhead/fleet/__init__.py
+++ b/roadhead/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Renting and returning machines."""
+"""Renting machines from the cloud and returning them, as the waiting work needs them."""
--- a/roadhead/fleet/fleet.py
+++ b/roadhead/fleet/fleet.py
@@ -1,4 +1,7 @@
-"""The fleet's duties: the catalogue, the machine list, renting (one renter a term), returning."""
+"""Keeps the fleet: reads the catalogue and the machine list, rents machines and returns them.
+
+Each controller returns the machines homed at it; one member per term, the renter, rents for all.
+"""
 
 import logging
 
@@ -10,15 +13,23 @@
 
 log = logging.getLogger("roadhead.fleet")
 
-HIRE_MOST = 50
-RELEASE_MOST = 100
-EARLY_S = 1e-3  # timers may fire that much early
-DEARER_WITHIN = 0.7  # of a time aim: what the cheapest kinds don't drain by then is rented for dearer
-SETTLED_LAGS = 2  # list lags, after which what starts on new machines is no longer told of as waiting
-SOONER = 0.2  # of the time that an idle machine is kept, if there is plenty of room without it
+MAX_HIRE = 50  # machines per request
+MAX_RELEASE = 100  # machines per request
+TIMER_MARGIN_S = 1e-3  # timers may fire early by this much
+# Part of a class's time target: dearer shapes are rented for work that the cheapest would not drain by then.
+COSTLY_SHAPES_WITHIN = 0.7
+# List lags after which tasks that start on a new machine are no longer counted as waiting.
+DEMAND_LAGS = 2
+SURPLUS_IDLE_FACTOR = 0.2  # shortens the time that an idle machine is kept if much room is free without it
 
 
 class Fleet:
+    """The fleet as one controller sees it, and its duties towards the cloud.
+
+    `tuning`: the table `fleet` of the operators' settings; `aims`: {class: its shortest time target in
+    seconds}; `default_aim_s`: the target assumed for the other classes.
+    """
+
     def __init__(self, loop, cloud, member, home, deployment, tuning, aims, default_aim_s, random, counters):
         self._loop = loop
         self._cloud = cloud
@@ -28,63 +39,67 @@
         self._lag_s = deployment.cloud.list_lag_s
         self._lease_s = deployment.workers.lease_s
         self._tuning = tuning
-        # Beyond that the survivors of an end could not even hear each machine once a report interval.
-        self._largest = tuning.largest or deployment.nodes * deployment.quota.fd_limit
+        # With more machines, the controllers that remain when one ends would have too few sockets to get a
+        # report from each machine once per report interval.
+        self._max_machines = tuning.largest or deployment.nodes * deployment.quota.fd_limit
         self._aims = aims
         self._default_aim_s = default_aim_s
         self._random = random
         self._count = counters.add
         self.types = {}
-        self.on_types = lambda: None  # called when they have become known
+        self.on_types = lambda: None  # called after the catalogue was read
         self.demand = {}  # label -> rows of its newest Demand
         self.fleet = {}  # label -> rows of its newest HomeNews
         self.running = []  # addresses of the machines last listed as running
-        self._hired = {}  # machine -> (shape key, when), until it is listed as running
-        self._just_up = JustUp(SETTLED_LAGS * self._lag_s)
-        self._steady = SteadyRoom(SETTLED_LAGS * self._lag_s)
-        self._refused = {}  # shape key -> (until, how often)
-        self._names = 0
-        self._moved = {}  # what waits -> (tasks, when that number last fell)
+        self._booting = {}  # machine -> (shape key, when it was rented), until it is listed as running
+        self._recently_booted = JustUp(DEMAND_LAGS * self._lag_s)
+        self._sustained_headroom = SteadyRoom(DEMAND_LAGS * self._lag_s)
+        self._backoffs = {}  # shapes without capacity: key -> (until when, refusals in a row)
+        self._hire_count = 0
+        self._progress = {}  # key of a Want -> (waiting tasks, when that number last fell)
         self._releasing = set()
         self._wake = Signal()
 
     def duties(self):
-        return [self._catalogue, self._list, self._rent]
+        """Returns the coroutine functions to run for as long as this incarnation lasts."""
+        return [self._update_catalogue, self._poll_machines, self._rent_machines]
 
     def wake(self):
+        """Lets the renter decide now instead of at its next interval."""
         self._wake.set()
 
-    async def _catalogue(self):
+    async def _update_catalogue(self):
         while True:
             try:
                 self.types = await self._cloud.catalogue()
                 self._home.known.types = self.types
                 self.on_types()
             except CloudTrouble as error:
-                log.info("catalogue: %s", error)
-            # Spot prices move slowly; an empty catalogue is asked for again soon.
+                log.info("reading the catalogue failed: %s", error)
+            # Spot prices move slowly; while the catalogue is empty, retry soon.
             await self._loop.sleep(5 * self._lease_s if self.types else self._lag_s / 3)
 
     # The list
 
-    async def _list(self):
+    async def _poll_machines(self):
         while True:
             asked_at = self._loop.now()
             try:
                 listed = await self._cloud.machines()
             except (CloudTrouble, NoCapacity) as error:
-                log.info("list: %s", error)
+                log.info("listing machines failed: %s", error)
                 await self._loop.sleep(self._lag_s / 2)
                 continue
             if self._member.joined:
-                self._listed(listed, asked_at)
+                self._on_machine_list(listed, asked_at)
             pause_s = self._lag_s if not self._home.reconciliation.clean() else 2 * self._lag_s
             cover_at = self._home.reconciliation.cover_at()
             if cover_at is not None:
-                pause_s = min(pause_s, cover_at - self._loop.now() + EARLY_S)
+                pause_s = min(pause_s, cover_at - self._loop.now() + TIMER_MARGIN_S)
             await self._loop.sleep(pause_s)
 
-    def _listed(self, listed, asked_at):
+    def _on_machine_list(self, listed, asked_at):
+        """Handles a complete machine list that was requested at `asked_at`."""
         home = self._home
         term = self._member.term
         now = self._loop.now()
@@ -96,20 +111,20 @@
             if item.status == "running":
                 running.append(item.address)
             if item.status != "starting":
-                hired = self._hired.pop(item.id, None)
+                hired = self._booting.pop(item.id, None)
                 if hired is not None and item.status == "running":
-                    self._just_up.add(item.id, hired[0], now)
-            elif item.id not in self._hired:
-                self._hired[item.id] = ((item.type, item.zone, item.spot), now - item.age_s)
+                    self._recently_booted.add(item.id, hired[0], now)
+            elif item.id not in self._booting:
+                self._booting[item.id] = ((item.type, item.zone, item.spot), now - item.age_s)
             if term.home(item.id) == self._member.label:
                 mine.append(item)
-        for name, (_key, since) in list(self._hired.items()):
+        for name, (_key, since) in list(self._booting.items()):
             if name not in names and asked_at > since + 2 * self._lag_s:
-                del self._hired[name]
+                del self._booting[name]
         failed = home.covered(mine, asked_at)
         if failed:
             self.release(failed)
-        stuck = []
+        to_release = []
         for item in mine:
             kind = self.types.get(item.type)
             machine = home.machines.get(item.id)
@@ -120,42 +135,42 @@
                 and (machine is None or machine.heard_at is None)
             ):
                 if item.id not in self._releasing:
-                    log.info("machine %s does not come up", item.id)
+                    log.info("machine %s did not come up in time and is released", item.id)
                     self._count("machines_stuck")
-                stuck.append(item.id)
+                to_release.append(item.id)
         for machine in list(home.machines.values()):
             if machine.id in names:
                 continue
             known_at = max(machine.heard_at or 0.0, machine.listed_at or 0.0)
             if asked_at > known_at + 2 * self._lag_s * 1.01:
-                stuck.append(machine.id)
-        stuck += home.reconciliation.vanished(names, asked_at)
-        if stuck:
-            self.release(stuck)
+                to_release.append(machine.id)
+        to_release += home.reconciliation.vanished(names, asked_at)
+        if to_release:
+            self.release(to_release)
 
     # Returning
 
     def release(self, names):
-        """Gives machines back, with whatever is on them."""
+        """Returns machines to the cloud, which ends whatever runs on them."""
         names = [name for name in names if name not in self._releasing]
         for name in names:
             self._releasing.add(name)
             machine = self._home.machines.get(name)
             if machine is not None:
                 machine.draining = True
-        for at in range(0, len(names), RELEASE_MOST):
-            self._loop.spawn(self._release(names[at : at + RELEASE_MOST]), "release")
+        for at in range(0, len(names), MAX_RELEASE):
+            self._loop.spawn(self._release(names[at : at + MAX_RELEASE]), "release")
 
     async def _release(self, names):
         try:
             await self._cloud.release(names)
         except (CloudTrouble, NoCapacity) as error:
-            log.info("release: %s", error)
+            log.info("releasing machines failed: %s", error)
             await self._loop.sleep(self._lag_s)
         else:
             self._count("machines_released", len(names))
             for name in names:
-                self._hired.pop(name, None)
+                self._booting.pop(name, None)
                 machine = self._home.machines.get(name)
                 if machine is not None:
                     self._home.machine_gone(machine, "released")
@@ -165,33 +180,34 @@
             self._releasing.difference_update(names)
 
     def return_idle(self):
-        ratio = self._tuning.idle_ratio * (SOONER if self._home.plenty() else 1.0)
+        """Returns machines that have been idle for long enough, except those kept for pending tasks."""
+        ratio = self._tuning.idle_ratio * (SURPLUS_IDLE_FACTOR if self._home.plenty() else 1.0)
 
         def idle_s(machine):
             boot_s = machine.kind.boot_s if machine.kind is not None else self._lease_s
             return ratio * boot_s
 
         machines = self._home.idle(idle_s)
-        count = returnable(len(machines), self._told(), self.fleet, self.types)
+        count = returnable(len(machines), self._demand_of_members(), self.fleet, self.types)
         if count:
             self.release([machine.id for machine in machines[:count]])
 
     def refused_kinds(self):
-        """Kinds of machine that the cloud refused lately."""
+        """Returns the shapes, as text, for which the cloud lately had no capacity."""
         now = self._loop.now()
         return [
             " ".join((kind, zone, "spot" if spot else "ordinary"))
-            for (kind, zone, spot), (until, _times) in self._refused.items()
+            for (kind, zone, spot), (until, _attempts) in self._backoffs.items()
             if until > now
         ]
 
     def capacity(self):
-        """The CPUs of all machines heard of that fall to one controller."""
+        """Returns this controller's part of the fleet's CPUs: an equal part for each member; 0 outside."""
         cpus = self.totals()[0]
         return cpus / max(1, len(self._member.term.members)) if self._member.joined else 0.0
 
     def totals(self):
-        """(cpus, gpus, memory) of all machines heard of."""
+        """Returns (cpus, gpus, memory) of the whole fleet, as its homes last reported it."""
         cpus = gpus = memory = 0.0
         for rows in self.fleet.values():
             for type_name, _zone, _spot, count, *_free in rows:
@@ -206,20 +222,21 @@
 
     @property
     def renter(self):
+        """Whether this controller rents for all: a hash over the term's members picks one of them."""
         return (
             self._member.joined
             and not self._member.lapsed()
             and pick(self._member.term.members, "renter") == self._member.label
         )
 
-    def _told(self):
-        """{label: rows} of what waits at the controllers of the term."""
+    def _demand_of_members(self):
+        """Returns {label: rows of its newest Demand} of the term's members."""
         return {label: rows for label, rows in self.demand.items() if label in self._member.term.members}
 
-    def _wants(self):
-        """What waits anywhere, less what the machines now busy will get to in time."""
+    def _collect_wants(self):
+        """Returns the Wants: the demand of all members, summed over tasks with the same needs."""
         wants = {}
-        for row in self._steady.rentable(self._told(), self._loop.now()):
+        for row in self._sustained_headroom.rentable(self._demand_of_members(), self._loop.now()):
             rank, mark, cpus, gpus, memory, count, spot, zone, types, estimate_s, klass, slack, *_ = row
             aim = self._aims.get(klass)
             if aim is not None:
@@ -238,22 +255,22 @@
                 want.count = total
                 want.wait_s = min(want.wait_s, wait_s)
         now = self._loop.now()
-        moved = {}
+        progress = {}
         for key, want in wants.items():
             if want.mark is Mark.BEYOND:
                 continue
-            count, since = self._moved.get(key, (want.count, now))
-            if want.count < count or self._hired:
-                since = now  # it moves, or machines for it are on their way
-            moved[key] = (want.count, since)
+            count, since = self._progress.get(key, (want.count, now))
+            if want.count < count or self._booting:
+                since = now  # tasks of it started, or machines are booting
+            progress[key] = (want.count, since)
             if now - since > max(want.estimate_s, self._lease_s / 2):
-                # Nothing of it started for longer than a run should take: what is up is held
-                # by services or by tasks estimated far too low, and will not drain in time.
+                # None of its tasks started for longer than a run should take: the machines are occupied by
+                # services or by tasks with far too low an estimate, and will not become free in time.
                 want.estimate_s, want.stuck = 0.0, True
-        self._moved = moved
+        self._progress = progress
         return list(wants.values())
 
-    async def _rent(self):
+    async def _rent_machines(self):
         while True:
             await self._wake.wait(self._loop, self._lag_s / 1.5)
             if not self.renter or not self.types:
@@ -261,16 +278,16 @@
             try:
                 await self._rent_once()
             except CloudTrouble as error:
-                log.info("hire: %s", error)
+                log.info("renting machines failed: %s", error)
                 await self._loop.sleep(self._lag_s)
             await self._loop.sleep(self._lag_s / 6)
 
     async def _rent_once(self):
         now = self._loop.now()
-        refused = {key for key, (until, _times) in self._refused.items() if until > now}
-        coming = {}
-        for key, _since in self._hired.values():
-            coming[key] = coming.get(key, 0) + 1
+        refused = {key for key, (until, _attempts) in self._backoffs.items() if until > now}
+        booting = {}
+        for key, _since in self._booting.values():
+            booting[key] = booting.get(key, 0) + 1
         machines, idle = {}, {}
         busy = 0.0
         for rows in self.fleet.values():
@@ -280,60 +297,60 @@
                 idle[key] = idle.get(key, 0) + empty
                 if type_name in self.types:
                     busy += count - free_cpus / max(1e-6, self.types[type_name].cpus)
-        for key, count in coming.items():
-            # Homes count machines from when they are listed, up or not.
+        for key, count in booting.items():
+            # Homes count machines as soon as they are listed, also while they boot.
             machines[key] = max(0, machines.get(key, 0) - count)
-        size = sum(machines.values()) + len(self._hired)
-        wants = self._wants()
+        machine_count = sum(machines.values()) + len(self._booting)
+        wants = self._collect_wants()
         orders = plan(
             wants,
             offers(self.types, self._zones),
             machines,
             idle,
             busy,
-            coming,
+            booting,
             refused,
-            max(0, self._largest - size),
-            DEARER_WITHIN / self._tuning.drain_ratio,
-            self._just_up.counts(now),
+            max(0, self._max_machines - machine_count),
+            COSTLY_SHAPES_WITHIN / self._tuning.drain_ratio,
+            self._recently_booted.counts(now),
         )
         for shape, count in orders:
-            count = min(count, HIRE_MOST)
-            self._names += 1
-            # The incarnation is in the name, so that no other process ever uses it again.
-            name = f"r-{self._member.incarnation}-{self._names}"
+            count = min(count, MAX_HIRE)
+            self._hire_count += 1
+            # The request name contains the incarnation, so that no other process ever uses the same name.
+            name = f"r-{self._member.incarnation}-{self._hire_count}"
             try:
-                names = await self._hire(name, shape, count)
+                names = await self._hire_with_retries(name, shape, count)
             except NoCapacity:
                 names = []
             if len(names) < count:
-                times = self._refused.get(shape.key, (0, 0))[1] + 1
-                pause = min(2**times, 10) * self._lag_s
-                self._refused[shape.key] = (self._loop.now() + pause, times)
-                log.info("no more capacity for %s", shape.key)
+                attempts = self._backoffs.get(shape.key, (0, 0))[1] + 1
+                backoff_s = min(2**attempts, 10) * self._lag_s
+                self._backoffs[shape.key] = (self._loop.now() + backoff_s, attempts)
+                log.info("the cloud has no capacity for %s", shape.key)
                 self._wake.set()
             else:
-                self._refused.pop(shape.key, None)
+                self._backoffs.pop(shape.key, None)
             if names:
                 log.info(
-                    "hired %d of %s; up %s, coming %s, waiting (urgency, tasks, s each, s left): %s",
+                    "rented %d of %s; up: %s, booting: %s, waiting (urgency, tasks, s each, s left): %s",
                     len(names),
                     shape.key,
                     sum(machines.values()),
-                    sum(coming.values()),
+                    sum(booting.values()),
                     [(w.rank, w.count, round(w.estimate_s), round(w.wait_s)) for w in wants],
                 )
                 self._count("machines_hired", len(names))
             for machine in names:
-                self._hired[machine] = (shape.key, self._loop.now())
+                self._booting[machine] = (shape.key, self._loop.now())
 
-    async def _hire(self, name, shape, count):
-        """Hires once, whatever gets lost on the way: the same name rents nothing twice."""
-        for left in (2, 1, 0):
+    async def _hire_with_retries(self, name, shape, count):
+        """Rents machines and returns their names; retries with the same name, which rents nothing twice."""
+        for retries_left in (2, 1, 0):
             try:
                 return await self._cloud.hire(name, shape.kind.name, shape.zone, shape.spot, count)
             except CloudTrouble:
-                if not left:
+                if not retries_left:
                     raise
                 await self._loop.sleep(self._lag_s / 3)
         return []
--- a/roadhead/fleet/limited.py
+++ b/roadhead/fleet/limited.py
@@ -1,40 +1,43 @@
-"""What limits of teams mean for renting and returning: pure decisions.
+"""How teams' limits bear on renting and returning machines: pure functions and state, no I/O.
 
-The owner of a limited team's jobs marks what it tells of them (`dispatch/headroom.py`). The mark
-travels in the urgency of a Demand row, so that controllers of the version before read the same frames.
+The owner of a limited team's jobs marks each row of its demand with the state of the limit
+(`dispatch/headroom.py`). The mark is encoded in the row's urgency, so that the frame's layout is the same as
+in the previous version.
 """
 
 from collections import Counter
 from enum import IntEnum
 
-URGENCIES = 10  # an urgency is below that, also of work that borrows
+URGENCY_STEP = 10  # above every urgency, also that of work that borrows
 
 
 class Mark(IntEnum):
-    """How a limit bears on a row of waiting tasks."""
+    """The state of a team's limit for a row of waiting tasks."""
 
-    PLAIN = 0  # no limit keeps any of the team's tasks from starting
-    WITHIN = 1  # as many tasks as the limit leaves room for, of a team of which more wait
-    BEYOND = 2  # those for which it leaves no room: they are a reason neither to rent nor to grant
-    PENDING = 3  # within the limit, but it isn't known yet what else of the team still runs
+    PLAIN = 0  # no limit keeps any of the team's waiting tasks from starting
+    WITHIN = 1  # the limit admits these tasks, but not all of the team's waiting tasks
+    BEYOND = 2  # the limit doesn't admit these tasks: no machine is rented or granted for them
+    PENDING = 3  # within the limit, but not all of the team's running tasks are known yet
 
 
 def marked(rank, mark):
-    """The urgency of a row in a Demand frame."""
-    return rank + URGENCIES * mark
+    """Returns the urgency field of a Demand row: the urgency of the job combined with the mark."""
+    return rank + URGENCY_STEP * mark
 
 
 def unmarked(urgency):
-    """(urgency of the job, mark) of a row in a Demand frame."""
-    mark, rank = divmod(urgency, URGENCIES)
+    """Returns (urgency of the job, mark) from the urgency field of a Demand row."""
+    mark, rank = divmod(urgency, URGENCY_STEP)
     return rank, Mark(mark)
 
 
 def returnable(idle, told, fleet, types):
-    """How many of `idle` machines may go back: not those for tasks that start as soon as it is known
-    what else of their team still runs. Every home keeps the same part of its own.
+    """Returns how many of `idle` machines may be returned to the cloud.
 
-    `told`: {label: rows of a Demand}, `fleet`: {label: rows of a HomeNews}, `types`: the catalogue.
+    Machines are kept for pending tasks, which start once their team's running tasks are known. Every home
+    keeps the same part of its idle machines.
+
+    `told`: {label: rows of its Demand}, `fleet`: {label: rows of its HomeNews}, `types`: the catalogue.
     """
     rows = [row for rows in told.values() for row in rows]
     pending = sum(row[1] * row[4] for row in rows if unmarked(row[0])[1] is Mark.PENDING)
@@ -46,67 +49,74 @@
 
 
 class JustUp:
-    """Machines that came up within the last `window_s`: what starts there may still be told of as waiting."""
+    """Machines that came up within the last `window_s`.
+
+    Tasks that start on them may still be counted as waiting in the demand last received.
+    """
 
     def __init__(self, window_s):
         self._window_s = window_s
         self._machines = {}  # machine -> (shape key, until)
 
     def add(self, machine, key, now):
-        """The machine of that shape came up."""
+        """Records that a machine of the shape with this key came up."""
         self._machines[machine] = (key, now + self._window_s)
 
     def counts(self, now):
-        """{shape key: machines}."""
+        """Returns {shape key: number of machines}."""
         self._machines = {name: entry for name, entry in self._machines.items() if entry[1] > now}
         return dict(Counter(key for key, _until in self._machines.values()))
 
 
 def size(cpus, gpus):
-    """What a task counts for: its CPUs, or its GPUs where it takes no CPU."""
+    """Returns the size of a task: its CPUs, or its GPUs if it needs no CPU."""
     return cpus or gpus or 1.0
 
 
 class SteadyRoom:
-    """The room that limits left throughout the last `window_s`, by controller.
+    """The headroom under limits that lasted throughout the last `window_s`, for each controller.
 
-    Between the end of a task and the next start on its machine there is room within the limit, and
-    room on the machine as well: for that nothing need be rented. Nor for what was pending a moment ago.
+    Machines are rented only for that. Between the end of a task and the next start on its machine there is
+    headroom for a moment, but also room on that machine, so nothing need be rented. The same holds for tasks
+    that were pending a moment ago.
     """
 
     def __init__(self, window_s):
         self._window_s = window_s
-        self._seen = {}  # label -> [(when, CPUs told of within limits)], oldest first
+        self._history = {}  # label -> [(when, CPUs told of within limits)], oldest first
 
     def rentable(self, told, now):
-        """[(urgency, mark, the rest of its row)] of what machines are needed for. `told`: {label: rows}."""
-        found = []
+        """Returns the rows that machines may be rented for, each as (urgency, mark, *the rest of the row).
+
+        `told`: {label: rows of its Demand}.
+        """
+        needed = []
         for label, rows in told.items():
             rows = [(*unmarked(row[0]), *row[1:]) for row in rows]
             if any(row[1] is not Mark.PLAIN for row in rows):
-                rows = self._at_limit(label, rows, now)
+                rows = self._limit_to_sustained(label, rows, now)
             else:
-                self._seen.pop(label, None)
-            found += [row for row in rows if row[1] is not Mark.PENDING]
-        return found
+                self._history.pop(label, None)
+            needed += [row for row in rows if row[1] is not Mark.PENDING]
+        return needed
 
-    def _at_limit(self, label, rows, now):
-        """The rows, with as much within limits as there was room for all the time."""
+    def _limit_to_sustained(self, label, rows, now):
+        """Returns the rows, with the tasks marked WITHIN cut to the sustained headroom."""
         cpus = sum(size(*row[2:4]) * row[5] for row in rows if row[1] is Mark.WITHIN)
-        left = self._least(label, cpus, now)
-        kept = []
+        left = self._lowest_in_window(label, cpus, now)
+        remaining = []
         for row in rows:
             if row[1] is Mark.WITHIN:
                 count = min(row[5], int(left / size(*row[2:4]) + 1e-6))
                 left -= count * size(*row[2:4])
                 row = (*row[:5], count, *row[6:])
             if row[5]:
-                kept.append(row)
-        return kept
-
-    def _least(self, label, cpus, now):
-        """The least that this controller told of within the window; `cpus` now."""
-        seen = [entry for entry in self._seen.get(label, ()) if entry[0] >= now - self._window_s]
-        seen.append((now, cpus))
-        self._seen[label] = seen
-        return min(cpus for _when, cpus in seen)
+                remaining.append(row)
+        return remaining
+
+    def _lowest_in_window(self, label, cpus, now):
+        """Adds `cpus` to the controller's history, and returns the lowest value within the window."""
+        history = [entry for entry in self._history.get(label, ()) if entry[0] >= now - self._window_s]
+        history.append((now, cpus))
+        self._history[label] = history
+        return min(cpus for _when, cpus in history)
--- a/roadhead/fleet/plan.py
+++ b/roadhead/fleet/plan.py
@@ -1,12 +1,12 @@
-"""How many machines of which kind to rent: pure decisions."""
+"""Decides how many machines of which shape to rent: pure functions, no I/O."""
 
 from roadhead.fleet.limited import Mark
 
-DOUBTFUL = 4  # urgency of jobs that fail wherever they run, after those of the protocol
+DOUBTFUL = 4  # urgency of jobs that fail wherever they run; the protocol's own are below
 
 
 class Shape:
-    """One kind of machine on offer: a type in a zone, spot or ordinary."""
+    """A machine that the cloud offers: a machine type in a zone, spot or on-demand, and its price."""
 
     __slots__ = ("kind", "price", "spot", "zone")
 
@@ -18,11 +18,12 @@
 
     @property
     def key(self):
+        """(type name, zone, spot)."""
         return self.kind.name, self.zone, self.spot
 
 
 def offers(types, zones):
-    """Every shape that the catalogue offers, in the zones it names."""
+    """Returns every Shape of the catalogue; a type that names no zones is on offer in all `zones`."""
     return [
         Shape(kind, zone, spot)
         for kind in types.values()
@@ -33,8 +34,11 @@
 
 
 class Want:
-    """Waiting tasks of one shape, summed over controllers. `stuck`: none of it started for long; `mark`: how
-    a limit of its team bears on it."""
+    """Waiting tasks with the same needs, summed over all controllers.
+
+    `estimate_s`: the mean run time of a task, 0 for gangs and stuck tasks; `wait_s`: the time in which they
+    must start; `stuck`: whether none of them started for a long time; `mark`: their team's limit.
+    """
 
     __slots__ = (
         "count",
@@ -68,49 +72,51 @@
         self.stuck = False
 
     def slots(self, shape):
-        """How many of these tasks a machine of this shape holds; 0 if it may not run them."""
+        """Returns how many of these tasks a machine of this shape holds; 0 if it may not run them."""
         if (
             (shape.spot and not self.spot)
             or (self.zone and self.zone != shape.zone)
             or (self.types and shape.kind.name not in self.types)
         ):
             return 0
-        most = 1 << 30
-        for need, size in (
+        fitting = 1 << 30
+        for need, available in (
             (self.cpus, shape.kind.cpus),
             (self.gpus, shape.kind.gpus),
             (self.memory, shape.kind.memory),
         ):
             if need > 0:
-                most = min(most, int((size + 1e-6) / need))
-        return most
+                fitting = min(fitting, int((available + 1e-6) / need))
+        return fitting
 
 
 def plan(wants, shapes, machines, idle, busy, coming, refused, largest, patience, fresh=None):
-    """[(shape, count)] to rent, so that waiting work drains in time.
+    """Returns [(shape, count)] to rent, so that the waiting tasks start in time.
 
-    `machines`: {shape key: machines up}; `idle`: {shape key: those of them with nothing on them};
-    `busy`: the part of them in use; `coming`: {shape key: machines rented, not yet up}; `refused`:
-    keys lately without capacity. A shape dearer than the cheapest is rented only for work that would
-    otherwise take `patience` times as long as it should. `fresh`: machines that came up a moment ago, so that
-    what starts on them may still be told of as waiting.
+    `machines`: {shape key: running machines}; `idle`: {shape key: those of them without tasks}; `busy`: how
+    many machines' worth of CPUs is in use; `coming`: {shape key: machines rented that are still booting};
+    `refused`: keys of shapes for which the cloud lately had no capacity; `largest`: the most machines to
+    rent now; `patience`: a shape dearer than the cheapest is rented only for work that would otherwise take
+    this many times its `wait_s`; `fresh`: {shape key: machines that came up a moment ago}, whose tasks may
+    still be counted as waiting.
 
-    For work at its team's limit, what waits beyond the limit says how much of the room within it is
-    needed in time; room that machines up and on their way have is not rented again.
+    For a team at its limit, the tasks beyond the limit count when deciding how soon the tasks within it need
+    machines, but machines are rented for the latter only, less what fits on idle, fresh and booting machines.
     """
     by_key = {shape.key: shape for shape in shapes}
     rented = {}
-    spare = {key: float(count) for key, count in coming.items() if key in by_key}
-    unused = {key: float(count) for key, count in idle.items() if key in by_key}
+    spare_arriving = {key: float(count) for key, count in coming.items() if key in by_key}
+    spare_idle = {key: float(count) for key, count in idle.items() if key in by_key}
     total = sum(machines.values())
-    just_up = {key: float(count) for key, count in (fresh or {}).items() if key in by_key}
-    backlog = 0.0  # of what comes first, in seconds of a machine of the cheapest shape
-    beyond = 0.0  # the same of what waits beyond limits
+    spare_fresh = {key: float(count) for key, count in (fresh or {}).items() if key in by_key}
+    # Work of the wants seen so far, in seconds of one machine of the cheapest shape:
+    backlog_s = 0.0  # within limits or without one
+    beyond_limit_s = 0.0  # beyond limits
     for want in sorted(wants, key=lambda want: (want.rank, want.mark is not Mark.BEYOND, want.wait_s)):
-        usable = sorted(
+        offers_by_price = sorted(
             ((shape.price / slots, shape.key, slots) for shape in shapes if (slots := want.slots(shape))),
         )
-        if not usable:
+        if not offers_by_price:
             continue
         if want.rank == DOUBTFUL and any(
             count and want.slots(by_key[key])
@@ -118,47 +124,54 @@
             for key, count in pool.items()
             if key in by_key
         ):
-            continue  # it is tried on what there is
-        cheapest, _key, per_machine = usable[0]
+            continue  # it is only tried on the machines there are
+        cheapest, _key, per_machine = offers_by_price[0]
         if want.mark is Mark.BEYOND:
-            beyond += want.count * want.estimate_s / per_machine
+            beyond_limit_s += want.count * want.estimate_s / per_machine
             continue
-        # Machines on their way serve what comes first.
-        left = _served(want, float(want.count), spare, by_key)
+        # Booting machines serve the most urgent tasks.
+        left = _subtract_served(want, float(want.count), spare_arriving, by_key)
         if want.mark is Mark.WITHIN:
-            left = _served(want, _served(want, left, just_up, by_key), unused, by_key)
-        backlog += want.count * want.estimate_s / per_machine
-        up = sum(count * want.slots(by_key[key]) for key, count in machines.items() if key in by_key)
-        arriving = sum(
+            left = _subtract_served(
+                want, _subtract_served(want, left, spare_fresh, by_key), spare_idle, by_key
+            )
+        backlog_s += want.count * want.estimate_s / per_machine
+        running_slots = sum(
+            count * want.slots(by_key[key]) for key, count in machines.items() if key in by_key
+        )
+        arriving_slots = sum(
             count * want.slots(by_key[key])
             for pool in (coming, rented)
             for key, count in pool.items()
             if key in by_key
         )
-        running = busy / total * want.estimate_s / 2 if total else 0.0  # of each slot
-        for price, key, slots in _by_turns(usable, rented):
+        # The expected time until a slot is free: on average half of a running task's time is left.
+        busy_s = busy / total * want.estimate_s / 2 if total else 0.0
+        for price, key, slots in _cheapest_first(offers_by_price, rented):
             if key in refused:
                 continue
             wait_s = want.wait_s * (patience if price > 1.2 * cheapest else 1.0)
-            short = left
+            shortage = left
             if not want.estimate_s and not want.stuck:
-                # It will not drain, but nothing need be rented for what empty machines take.
-                short = _served(want, left, unused, by_key)
+                # It has no run time by which it would drain, but idle machines take some of it.
+                shortage = _subtract_served(want, left, spare_idle, by_key)
             elif want.estimate_s > 0:
-                first = backlog + beyond if want.mark is Mark.WITHIN else backlog
-                needed = first * per_machine / max(1e-3, wait_s)
-                short = min(left, needed - arriving - up * max(0.0, 1 - running / wait_s))
-            count = min(-int(-max(0.0, short - 1e-6) // slots), largest)
+                demand_s = backlog_s + beyond_limit_s if want.mark is Mark.WITHIN else backlog_s
+                needed_slots = demand_s * per_machine / max(1e-3, wait_s)
+                shortage = min(
+                    left, needed_slots - arriving_slots - running_slots * max(0.0, 1 - busy_s / wait_s)
+                )
+            count = min(-int(-max(0.0, shortage - 1e-6) // slots), largest)
             if count > 0:
                 rented[key] = rented.get(key, 0) + count
-                spare[key] = spare.get(key, 0.0) + max(0.0, count - left / slots)
+                spare_arriving[key] = spare_arriving.get(key, 0.0) + max(0.0, count - left / slots)
                 largest -= count
             break
     return [(by_key[key], count) for key, count in rented.items()]
 
 
-def _served(want, left, pool, by_key):
-    """What is left of a want's tasks once the machines of a pool have taken some, which use them up."""
+def _subtract_served(want, left, pool, by_key):
+    """Returns how many of `left` tasks remain after the machines of `pool` took some, and reduces `pool`."""
     for key, count in pool.items():
         slots = want.slots(by_key[key])
         if slots and left > 0:
@@ -168,6 +181,6 @@
     return left
 
 
-def _by_turns(usable, rented):
-    """Offers by price; those of about the same price take turns, since a zone may fail."""
-    return sorted(usable, key=lambda offer: (round(offer[0] * 1e6), rented.get(offer[1], 0)))
+def _cheapest_first(offers_by_price, rented):
+    """Returns the offers by price, and at the same price the least rented first, since a zone may fail."""
+    return sorted(offers_by_price, key=lambda offer: (round(offer[0] * 1e6), rented.get(offer[1], 0)))
--- a/roadhead/node.py
+++ b/roadhead/node.py
@@ -1,4 +1,4 @@
-"""One controller: puts the parts together and passes what happens from one to another."""
+"""One controller: creates its components, connects them, and passes events from one to another."""
 
 import logging
 import random
@@ -47,15 +47,22 @@
 
 log = logging.getLogger("roadhead.node")
 
-POLL_S = 2.0  # users wait that long for the answer to a poll (PROTOCOL)
-SUBMIT_S = 5.0  # and that long for one to a submission
-POLL_PART = 0.85  # of that passes at the most before they are told that it is not known
-ANSWER_PART = 0.9  # of that may pass before they are told that it is not known
-NEWS_MOST = 500  # jobs in a frame
-CANCELLED_MOST = 20_000  # jobs passed on: beyond that none is told of that was not known before
+POLL_TIMEOUT_S = 2.0  # how long users wait for the answer to a poll (PROTOCOL)
+SUBMIT_TIMEOUT_S = 5.0  # how long users wait for the answer to a submission (PROTOCOL)
+POLL_ANSWER_PART = 0.85  # of the poll's timeout, after which the answer is that the state is unknown
+SUBMIT_ANSWER_PART = 0.9  # of the submission's timeout, after which the answer is that the outcome is unknown
+JOBS_PER_FRAME = 500  # ids in one CancelNews frame
+CANCELLED_MOST = 20_000  # cancellations passed on; with more, users can't cancel or confirm older ones
 
 
 class Node:
+    """One controller process.
+
+    It outlives its incarnations: when the other members drop it, it joins again as a new incarnation and
+    rebuilds everything that depends on the membership. `hosted`: the Desk of tenants/desk.py where tenants
+    are served, else None.
+    """
+
     def __init__(self, loop, net, settings, tuning, rng=None, time_of_day=time.time, hosted=None):
         self._loop = loop
         self._net = net
@@ -88,7 +95,7 @@
         self.reader = Reader(
             loop,
             self.state,
-            POLL_PART * POLL_S,
+            POLL_ANSWER_PART * POLL_TIMEOUT_S,
             (KEY, SHELF),
             partial(complete, self.state),
             shorten,
@@ -97,7 +104,7 @@
         self.cloud = CloudClient(loop, net, settings.external.cloud, deployment.cloud, deployment.nodes)
         self.cancellations = Cancellations(KEPT * workers.cancel_s)
         self._beat_s = workers.lease_s / 12
-        self._partitions = tuning.membership.quota_partitions if hosted is None else hosted.slots
+        self._partition_count = tuning.membership.quota_partitions if hosted is None else hosted.slots
         self.member = Member(
             loop,
             self.state,
@@ -108,7 +115,7 @@
             on_lost=self._on_lost,
             on_cancel=self.on_cancelled,
             gate=Gate(FORMAT, [self.label, *(member.label for member in settings.members)]),
-            slots=self._partitions,
+            slots=self._partition_count,
             on_tenant=None if hosted is None else hosted.table.take,
             time_of_day=time_of_day,
         )
@@ -135,20 +142,20 @@
         )
         self._default_aim_s = 15 * workers.lease_s
         self.aims = shortest_aims(deployment.objectives)
-        self._class_aims = class_aims(deployment.objectives)
+        self._class_targets = class_aims(deployment.objectives)
         self._sockets = Sockets(deployment.quota.fd_limit, self.counters.add)
-        create_s = min(workers.lease_s / 3, ANSWER_PART * SUBMIT_S)
-        self._create_s = create_s
+        creation_timeout_s = min(workers.lease_s / 3, SUBMIT_ANSWER_PART * SUBMIT_TIMEOUT_S)
+        self._creation_timeout_s = creation_timeout_s
         self.teams = FixedTeams(deployment.teams) if hosted is None else hosted.teams
         self.api = Api(
             loop,
             self,
             sockets=self._sockets,
-            create_s=create_s,
+            create_s=creation_timeout_s,
             patience_s=workers.lease_s / 1.2,
         )
         self.risk = Risk(self.aims, sorted({objective.klass for objective in deployment.objectives}))
-        self._began_at = self._outside_since = loop.now()
+        self._started_at = self._not_member_since = loop.now()
         self.takeover = Takeover(
             loop,
             self.state,
@@ -173,7 +180,7 @@
             self._beat_s,
             self.member,
             self.peers.links,
-            self._state_ok,
+            self._is_state_ok,
             self.risk,
             self.troubles,
             self.counters,
@@ -181,20 +188,20 @@
             lambda: self.keeper.changes,
         )
         self._leaving = False
-        self._periodic = PeriodicDuties(loop, self, self._beat_s, workers.cancel_s, self._random)
+        self._periodic_duties = PeriodicDuties(loop, self, self._beat_s, workers.cancel_s, self._random)
         self.workers = None
         self._duties = []
         self._spec_lookup = SpecLookup(loop, self.state, self._beat_s)
         self._reset()
 
     def _reset(self):
-        """Everything that an incarnation knows starts from nothing."""
+        """Replaces all components whose state belongs to one incarnation by empty ones."""
         loop, deployment = self._loop, self._deployment
         for duty in self._duties:
             duty.cancel()
         if hasattr(self, "book"):
             for creation in self.book.pending().values():
-                creation.fail(RefusedError(Cause.NOT_A_MEMBER))  # nobody here would learn of its outcome
+                creation.fail(RefusedError(Cause.NOT_A_MEMBER))  # its outcome would not be noticed here
         workers = deployment.workers
         if self.workers is not None:
             self.workers.close()
@@ -227,12 +234,12 @@
 
         self.shelf = Shelf(loop, self.state, self.member, self.counters)
 
-        def recorder_of(*told):
+        def make_recorder(*frames_to_send):
             return Recorder(
                 loop,
                 self.state,
                 workers.report_s * 2,
-                *told,
+                *frames_to_send,
                 self.member,
                 self.desk or NO_GUARDS,
                 self.counters,
@@ -240,8 +247,8 @@
 
         parts = Parts(loop, self.state, self.member, self._time_of_day, workers.lease_s)
 
-        def line_of(book):
-            times = {name: aims.times for name, aims in self._class_aims.items()}
+        def make_line(book):
+            times = {name: aims.times for name, aims in self._class_targets.items()}
             return Line(
                 loop,
                 self.member,
@@ -259,7 +266,7 @@
         self.book = Book(
             loop,
             self.member,
-            recorder_of,
+            make_recorder,
             self.send,
             self._changed,
             self.counters,
@@ -269,7 +276,7 @@
             self.teams,
             self.takeover.on_accepted,
             self.shelf.add,
-            line_of,
+            make_line,
             parts,
         )
         self.dispatcher = Dispatcher(
@@ -277,7 +284,7 @@
             self.label,
             self.member,
             self.book,
-            self._class_aims,
+            self._class_targets,
             self._random,
             self.send,
             self.counters,
@@ -323,17 +330,17 @@
             self.shelf.run,
             self.book.line.look,
             parts.collect,
-            self._periodic.run,
+            self._periodic_duties.run,
             *self.fleet.duties(),
         ]
-        if self._partitions > 1:
+        if self._partition_count > 1:
             duties.append(QuotaSpreading(loop, self.member, self.book, workers.lease_s / 4).run)
         if self.desk is not None:
             duties += self.desk.begin(self)
-        self._duties = [loop.spawn(self._keep(duty), duty.__name__) for duty in duties]
+        self._duties = [loop.spawn(self._run_forever(duty), duty.__name__) for duty in duties]
 
-    async def _keep(self, duty):
-        """A long-lived duty goes on after a fault in it: the service must not lose it."""
+    async def _run_forever(self, duty):
+        """Runs a duty for ever, and restarts it after an exception: the service must not lose it."""
         while True:
             try:
                 await duty()
@@ -342,14 +349,16 @@
                 self.counters.add("duties_failed")
             await self._loop.sleep(self._beat_s)
 
-    def _stalled(self, seconds):
-        """The process stood still: whoever relied on us may have gone on without us.
+    def _on_stall(self, seconds):
+        """Handles a pause of the process, during which its lease may have ended and others taken over.
 
-        Leases, the term and what we may command are looked at by the clock wherever they are
-        used, so nothing is done on an authority that ran out meanwhile.
+        Leases, the term and the right to command workers are checked against the clock wherever they are
+        used, so nothing is done here on an authority that expired meanwhile.
         """
         log.warning(
-            "stood still for %.1f s%s", seconds, "; the lease may have ended" if self.member.lapsed() else ""
+            "process stalled for %.1f s%s",
+            seconds,
+            "; the lease may have ended" if self.member.lapsed() else "",
         )
         self.counters.add("stalls")
         self.troubles.note("stood still", seconds)
@@ -357,6 +366,7 @@
         self.home.awake_at = self._loop.now()
 
     def start(self):
+        """Starts to listen, to connect to the other controllers and to join the membership."""
         for team in self._deployment.teams if self.desk is None else ():
             log.info(
                 "team %s: cpus %g to %g, gpus %g to %g (0: no limit)",
@@ -367,38 +377,41 @@
                 team.gpus_max,
             )
             if team.guarantee != (team.cpus, team.gpus):
-                log.warning("team %s: the guarantee is above the limit; the limit holds", team.name)
-        self._loop.stall_s, self._loop.on_stall = self._beat_s, self._stalled
+                log.warning("team %s: the guarantee exceeds the limit; the limit applies", team.name)
+        self._loop.stall_s, self._loop.on_stall = self._beat_s, self._on_stall
         self._net.listen(self.settings.front, self.api.accept)
         self.peers.start()
         self._loop.spawn(self.member.run(), "member")
 
     def leave(self, done):
-        """An orderly end: no new work is taken on, what is held goes to others, then `done()` is called,
-        after half a workers' lease at the latest."""
+        """Shuts down gracefully: takes on no new work, hands over machines and jobs, then calls `done()`.
+
+        This takes at most half a workers' lease.
+        """
         if not self._leaving:
             self._leaving = True
             self._loop.spawn(self._leave(done), "leave")
 
     async def _leave(self, done):
         lease_s = self._deployment.workers.lease_s
-        log.info("ending in order")
+        log.info("shutting down")
         until = self._loop.now() + lease_s / 8
         while self.book.recorder.backlog() and self._loop.now() < until:
             await self._loop.sleep(self._beat_s / 8)
         try:
             await self._loop.within(lease_s / 4, self._loop.spawn(self.member.leave(), "give up").done)
         except Timeout:
-            log.warning("not all could be given away; the others take it when the lease ends")
-        await self._loop.sleep(self._beat_s / 4)  # what was handed over leaves the sockets
+            log.warning("handover incomplete; the other members take over the rest when the lease ends")
+        await self._loop.sleep(self._beat_s / 4)  # lets the frames of the handover leave the sockets
         done()
 
-    # What the parts ask of one another
+    # Calls between components
 
     def _changed(self):
         self.dispatcher.changed()
 
     def send(self, label, frame):
+        """Sends a frame to a controller, this one included; returns False if it has no link."""
         if label == self.label:
             self._loop.call_soon(self._switchboard.on_frame, label, self.member.incarnation, frame)
             return True
@@ -407,15 +420,15 @@
     def _beat(self):
         term = self.member.term
         return frames.Beat(
-            term.number if term else 0, self._state_ok(), self.home.deaf(), *self._periodic.used
+            term.number if term else 0, self._is_state_ok(), self.home.deaf(), *self._periodic_duties.used
         )
 
     def home_of(self, report):
-        """The home's label for a worker that asks here, or None if it would not get through.
+        """Returns the label of a worker's home, or None if the worker would not reach it.
 
-        A worker sent to a controller that is silent waits there for 4 s, a third of a
-        lease; without a name it asks the next one after 1 s. If its home is well but hears
-        hardly any worker, the network between them is cut: then others shall be their homes.
+        A worker sent to a silent controller waits there for 4 s, a third of a lease; without a label it asks
+        the next controller after 1 s. If the home is alive but hears hardly any worker, the network between
+        it and the workers is cut, and it is relieved: others become their homes.
         """
         home = self.member.term.home(report.machine)
         if home == self.label:
@@ -424,124 +437,139 @@
         if link is None:
             return None
         if link.deaf:
-            if report.token:  # it was in touch with its home before
+            if report.token:  # the worker has been in touch with its home before
                 self.member.relieve(home)
             return None
         return home
 
-    def _state_ok(self):
+    def _is_state_ok(self):
         return self._loop.now() - self.state.ok_at < self.member._lease_s / 2
 
     def _speaks(self):
-        """Whether others may hear this controller: a member, or one that surely is none for a while yet, and
-        knows what those before it under its label have told."""
+        """Whether this controller may send heartbeats.
+
+        That holds for a member, and for a non-member that stays one for a while yet and that has read what
+        earlier incarnations of its label have told users.
+        """
         if self.member.joined:
             return True
-        since_s = self._loop.now() - self._outside_since
-        return self.member.watched_at >= self._began_at and since_s > 2 * self._beat_s
+        since_s = self._loop.now() - self._not_member_since
+        return self.member.watched_at >= self._started_at and since_s > 2 * self._beat_s
 
     def ready(self):
-        """Ready unless others can do better: the state service answers them and not us, or the
-        cloud has had time to name its machines and has not.
+        """Whether this controller reports itself as ready.
 
-        Joining takes less time than the balancer takes to trust a node again, and each further
-        removal doubles that: a `/ready` that waits, or flaps while a member joins anew, costs
-        more than the few submissions that are answered 503 meanwhile. Polls need no member.
+        It is not while it ends or is too old for the stored records, while it has had no catalogue for longer
+        than the cloud's list lag, and while the state service answers others but not this controller.
+
+        It stays ready while it joins: joining takes less time than the load balancer takes to trust a node
+        again, and each further removal doubles that time. A `/ready` that waits, or flaps when a member
+        joins again, costs more than the few submissions that are answered 503 meanwhile. Polls are answered
+        without membership.
         """
-        since_s = self._loop.now() - self._began_at
+        since_s = self._loop.now() - self._started_at
         if self._leaving or self.member.gate.outdated:
             return False
         if not self.home.known.types and since_s > self._deployment.cloud.list_lag_s:
             return False
-        return self._state_ok() or not self._others_do_better()
+        return self._is_state_ok() or not self._others_are_better_off()
 
-    def _others_do_better(self):
+    def _others_are_better_off(self):
         """Whether the state service, which does not answer here, seems to answer others.
 
-        While it is down for all, controllers hear one another, but for those that have not reached it since
-        they started. One that did, and hears nobody, member or not, is cut off itself. A load balancer would
-        favour it as long as it is ready, since it refuses users at once.
+        While it is down for all, the controllers still hear one another, except those that have not reached
+        it since they started. A controller that has reached it and now hears nobody, member or not, is cut
+        off itself. If it stayed ready, a load balancer would favour it, since it refuses users at once.
         """
         if self.peers.links or self.peers.outside or not self.settings.members:
             return any(link.state_ok for link in self.peers.links.values())
-        return self.state.ok_at >= self._began_at
+        return self.state.ok_at >= self._started_at
 
     def impossible(self, spec):
-        """Why no machine can ever run the job, or None."""
+        """Returns why no machine can ever run the job, or None if one can."""
         return why_never(spec, self.teams, self.home.known.types, self.state.limits.value_bytes)
 
     def own(self, spec):
-        """Whether whoever submits the job may know of another: a tenant knows of its own alone."""
+        """Returns a function of a job id: whether the submitter of `spec` may learn of that job.
+
+        A tenant may learn of its own jobs only.
+        """
         return (lambda _job: True) if self.desk is None else self.desk.neighbours(spec.id)
 
     @property
     def leaving(self):
-        """Whether this process ends in order, and takes on nothing new."""
+        """Whether this process is shutting down and takes on nothing new."""
         return self._leaving
 
     @property
     def most_creating(self):
-        """Creations that can be written while their users wait; more are turned away at once."""
+        """How many creations can be written while their users wait; further ones are refused at once."""
         if self._leaving:
             return -1
-        return max(1, int(self._create_s * self.state.writes.rate))
+        return max(1, int(self._creation_timeout_s * self.state.writes.rate))
 
     async def read(self, job_id):
-        """A job's record for a user, or None; turned away if duties need the state service more.
+        """Returns a job's record for a user, or None if there is none.
 
-        A final record that became known here while it was read is newer than what the read found.
+        Raises Unavailable if the controller's own duties leave no requests to the state service for it. A
+        final record that became known here during the read is newer than the one that the read found.
         """
         record = await self.reader.read(job_id)
         return self.book.finals.get(job_id) or record
 
     def cancelled(self, jobs):
-        """Jobs that a user is about to be told to be cancelled: every home that can be reached has word of
-        it first, and those that can't will not hear from us before they have (membership/touch.py)."""
+        """Passes on cancellations of which a user is about to be told.
+
+        Every home that can be reached is told first. One that can't be reached gets no heartbeat from this
+        controller before it has been told (membership/touch.py). Raises Unavailable if that can't be ensured.
+        """
         if not self.member.joined:
-            # Nobody counts on hearing from us, so somebody's tasks might run on without our telling.
-            raise Unavailable("no member: what is told here would not be known")
+            # The others don't wait for heartbeats of a non-member, so tasks could run on without a warning.
+            raise Unavailable("not a member: the other controllers would not learn of the cancellation")
         if len(self.cancellations) >= CANCELLED_MOST and not all(map(self.cancellations.knows, jobs)):
-            raise Unavailable("more old cancellations are asked for than can be passed on")
-        self._learn_cancelled(jobs)
+            raise Unavailable(f"more than {CANCELLED_MOST} recent cancellations to pass on")
+        self._record_cancelled(jobs)
         self.home.commanding.cancel(jobs)
 
     def on_cancelled(self, jobs):
-        """Jobs cancelled through another controller, by its word or by the record."""
+        """Handles jobs cancelled through another controller, as a frame or a record says."""
         jobs = [job for job in jobs if JOB_ID.match(job)]
-        self._learn_cancelled(jobs)
+        self._record_cancelled(jobs)
         self.home.commanding.cancel(jobs)
         for job in jobs:
             self.book.cancelled(job)
         self.book.line.on_cancelled(jobs)
 
-    def _learn_cancelled(self, jobs):
-        fresh = self.cancellations.learn(jobs, self._loop.now())
-        for label in list(self.peers.links) if fresh else ():
-            self._tell_cancelled(label, fresh)
+    def _record_cancelled(self, jobs):
+        new_jobs = self.cancellations.learn(jobs, self._loop.now())
+        for label in list(self.peers.links) if new_jobs else ():
+            self._tell_cancelled(label, new_jobs)
 
     def _tell_cancelled(self, label, jobs):
-        for at in range(0, len(jobs), NEWS_MOST):
-            self.send(label, frames.CancelNews(jobs[at : at + NEWS_MOST]))
+        for at in range(0, len(jobs), JOBS_PER_FRAME):
+            self.send(label, frames.CancelNews(jobs[at : at + JOBS_PER_FRAME]))
 
     def summary(self):
+        """Returns the summary of the whole cluster, for `/v1/summary`."""
         return self._summary.whole()
 
     def summary_part(self):
-        """This controller's part of the summary, for the others."""
+        """Returns this controller's part of the summary, for the others."""
         return self._summary.part()
 
     def look_for_trouble(self):
-        """Notes what this controller is out of touch with."""
+        """Notes what this controller has lost contact with."""
         self._summary.look_for_trouble(self.member.lapsed())
 
     def shares(self):
+        """Returns how many shards each leader has and their recent moves, for `/v1/shares`."""
         return self._summary.shares()
 
     # Terms
 
     def _on_lost(self):
-        log.info("starting over as a new incarnation")
-        self._outside_since = self._loop.now()
+        log.info("membership lost; rejoining as a new incarnation")
+        self._not_member_since = self._loop.now()
         self.troubles.note("dropped by the others, and back as a new incarnation")
         self.peers.reset()
         self._reset()
@@ -551,17 +579,17 @@
             self._switchboard.tell_term(label)
         if old is None:
             self.api.readiness.changed()
-            # Who is not in the term may live on, and have been home to what is held now until shortly before
-            # the last end here; so may one that is relieved.
-            all_here = all(other.label in new.members for other in self.settings.members)
-            self.home.begin(self.member.replaced and all_here and not new.relieved)
+            # A controller that is not in the term may still run, and may have been the home of machines held
+            # here now until shortly before this one last ended. The same holds for a relieved one.
+            all_members_joined = all(other.label in new.members for other in self.settings.members)
+            self.home.begin(self.member.replaced and all_members_joined and not new.relieved)
             self.peers.reset()
         else:
             for label in new.members:
                 if label != self.label and old.incarnation(label) not in (None, new.incarnation(label)):
                     self.troubles.note(f"{label} ended and was back")
-            for label, told in self.home.on_term(old, new).items():
-                for frame in told:
+            for label, frames_to_send in self.home.on_term(old, new).items():
+                for frame in frames_to_send:
                     self.send(label, frame)
         self.book.quota.on_term(old, new)
         if self.desk is not None:
@@ -592,7 +620,7 @@
     # Limits of the state service
 
     def _on_lowered(self):
-        """The service refused what it took before: the others need not find out one by one."""
+        """The state service now applies its lower limits: tells the others, to spare them refusals."""
         self.troubles.note("the state service's limits are lower")
         for label in list(self.peers.links) if self.member.gate.open else ():
             self.send(label, frames.StateLowered(True))
--- a/roadhead/periodic_duties.py
+++ b/roadhead/periodic_duties.py
@@ -1,4 +1,7 @@
-"""What a controller does with each heartbeat, and every few of them: leases, machines, news to the others."""
+"""Runs a controller's periodic duties, each once per heartbeat or every few heartbeats.
+
+They check leases and machines, divide the state service's limits, and tell the others demand and summaries.
+"""
 
 import logging
 
@@ -8,14 +11,18 @@
 
 log = logging.getLogger("roadhead.node")
 
-IN_FORCE_BEATS = SILENT_BEATS + 1.5  # for so long a lapsed member goes by a term that others said is in force
-MARKS_MOST = 20  # of cancellations, that nobody dropped, dropped at a time
-SAMPLE_MOST = 3  # workers asked whether they are reached again
+# After its lease has lapsed, a member acts on a term for so long after the others showed it to be in force.
+TERM_VALID_BEATS = SILENT_BEATS + 1.5
+MAX_MARKS_PER_RUN = 20  # stale cancellation marks deleted at a time
+MAX_SAMPLE = 3  # workers probed by a relieved controller
 
 
 class PeriodicDuties:
-    """`node`: the controller's Node; `beat_s`: between two heartbeats, in seconds; `random`: a random.Random;
-    `cancel_s`: of the settings."""
+    """The duties of one Node.
+
+    `beat_s`: the seconds between two heartbeats; `cancel_s`: from the settings, the time by which a cancelled
+    job's tasks have ended; `random`: a random.Random.
+    """
 
     def __init__(self, loop, node, beat_s, cancel_s, random):
         self._loop = loop
@@ -23,19 +30,19 @@
         self._beat_s = beat_s
         self._cancel_s = cancel_s
         self._random = random
-        self._judging = False
-        self.used = (0.0, 0.0)  # requests and writes of the state service a second, in the last beat
-        self._rarer = (  # (each so many beats, what is done then), in that order
+        self._is_judging = False
+        self.used = (0.0, 0.0)  # requests and writes per second to the state service in the last beat
+        self._schedule = (  # (interval in beats, duty), run in this order
             (30, self._drop_stale_marks),
-            (6, self._ask_workers_again),
-            (2, self._tell_demand),
-            (5, self._tell_summary),
+            (6, self._restore_if_reachable),
+            (2, self._send_demand),
+            (5, self._send_summary),
             (30, self._scan_as_quota_leader),
-            (10, self._log_line),
+            (10, self._log_status),
         )
 
     async def run(self):
-        """Goes on for ever; an incarnation's duty."""
+        """Runs the duties until the incarnation ends and this coroutine is cancelled."""
         node = self._node
         beats = 0
         while True:
@@ -44,8 +51,8 @@
             node.cancellations.prune(self._loop.now())
             if not node.member.joined:
                 continue
-            self._look_after_machines()
-            self._share_state()
+            self._check_machines()
+            self._share_state_limits()
             node.dispatcher.changed()
             node.takeover.tell()
             node.keeper.tick(node.home)
@@ -54,29 +61,29 @@
             beats += 1
             if node.desk is not None:
                 node.desk.tick(beats)
-            for every, duty in self._rarer:
-                if beats % every == 0:
+            for interval_beats, duty in self._schedule:
+                if beats % interval_beats == 0:
                     duty()
 
     # Machines
 
-    def _look_after_machines(self):
-        """Judges leases, and gives machines back that nobody uses."""
+    def _check_machines(self):
+        """Checks the workers' leases, and returns unused machines to the cloud."""
         node = self._node
-        node.authority.may_renew()  # hearing counts only as long as it does not break off
+        node.authority.may_renew()  # must be called every beat, as Touch.look in membership/touch.py
         sure_at = node.authority.sure_at()
-        self._hear_terms()
+        self._check_relieved_controllers()
         unused = node.home.tick(sure_at)
-        if node.home.undecided and not self._judging:
-            self._judging = True
-            self._loop.spawn(self._judge(), "judge leases")
-        # Others may have been given these machines, and have work there, without our knowing.
-        if not node.member.lapsed() or self._loop.now() - sure_at < IN_FORCE_BEATS * self._beat_s:
+        if node.home.undecided and not self._is_judging:
+            self._is_judging = True
+            self._loop.spawn(self._judge_leases(), "judge leases")
+        # Otherwise the machines may have a new home by now, and tasks that are not known here.
+        if not node.member.lapsed() or self._loop.now() - sure_at < TERM_VALID_BEATS * self._beat_s:
             node.fleet.release([machine.id for machine in unused])
             node.fleet.return_idle()
 
-    async def _judge(self):
-        """A worker's lease has run out since the term was last seen to be in force: is it still?"""
+    async def _judge_leases(self):
+        """Confirms that the term is in force, then judges the leases that ended since that was last known."""
         node = self._node
         home = node.home
         try:
@@ -85,32 +92,33 @@
             log.debug("term in force: %r", error)
         if home is node.home and node.member.joined:
             home.judge_leases(node.authority.sure_at())
-        self._judging = False
+        self._is_judging = False
 
-    def _hear_terms(self):
-        """Relieved controllers that say that they serve a term by which they are."""
+    def _check_relieved_controllers(self):
+        """Records which relieved controllers are known, by their heartbeats, to have seen that they are."""
         node = self._node
         for label in node.home.reconciliation.may_not_know():
             link = node.peers.links.get(label)
             if link is not None and link.incarnation == node.member.term.incarnation(label):
                 node.home.reconciliation.hear_term(label, link.term)
 
-    def _ask_workers_again(self):
+    def _restore_if_reachable(self):
+        """Probes workers if this controller is relieved of its machines."""
         if self._node.label in self._node.member.term.relieved:
-            self._loop.spawn(self._try_workers(), "try workers")
+            self._loop.spawn(self._probe_workers(), "try workers")
 
-    async def _try_workers(self):
-        """Relieved of its machines, this controller is their home again once it reaches workers."""
+    async def _probe_workers(self):
+        """Ends the relief, and so makes this controller a home again, if it reaches most probed workers."""
         node = self._node
         running = node.fleet.running
-        some = self._random.sample(running, min(SAMPLE_MOST, len(running)))
-        if some and 2 * await node.workers.reached(some) > len(some):
+        probed = self._random.sample(running, min(MAX_SAMPLE, len(running)))
+        if probed and 2 * await node.workers.reached(probed) > len(probed):
             node.member.restore()
 
     # The state service
 
-    def _share_state(self):
-        """Uses of the state service's limits what the other controllers leave."""
+    def _share_state_limits(self):
+        """Sets this controller's part of the state service's limits by what the other controllers use."""
         node = self._node
         self.used = node.state.requests.used(), node.state.writes.used()
         term, links = node.member.term, node.peers.links
@@ -122,31 +130,33 @@
         )
 
     def _drop_stale_marks(self):
+        """Deletes cancellation marks whose writers ended before they could delete them."""
         stale = self._node.member.stale_marks(KEPT * self._cancel_s)
-        for mark in stale[:MARKS_MOST]:
+        for mark in stale[:MAX_MARKS_PER_RUN]:
             self._node.book.recorder.drop(mark)
 
     def _scan_as_quota_leader(self):
-        """Word of a job accepted for the leader may have been lost."""
+        """Scans for jobs of which a quota leader was not told, since that frame may have been lost."""
         node = self._node
         if node.book.quota.has_limits and node.label in node.member.term.wardens:
             node.takeover.scan()
 
-    # News
+    # Frames to the other members
 
-    def _tell_demand(self):
+    def _send_demand(self):
         node = self._node
         node.dispatcher.refresh()
-        self._tell_members(frames.HomeNews(node.home.news()))
+        self._send_to_members(frames.HomeNews(node.home.news()))
 
-    def _tell_summary(self):
-        self._tell_members(self._node.summary_part())
+    def _send_summary(self):
+        self._send_to_members(self._node.summary_part())
 
-    def _tell_members(self, frame):
+    def _send_to_members(self, frame):
         for label in self._node.member.term.members:
             self._node.send(label, frame)
 
-    def _log_line(self):
+    def _log_status(self):
+        """Logs one line of status."""
         node = self._node
         node.workers.trim()
         log.info(
--- a/roadhead/settings.py
+++ b/roadhead/settings.py
@@ -1,4 +1,7 @@
-"""Settings: the platform's JSON file, and the operators' own TOML file. Both are checked before use."""
+"""Reads and checks the settings: the platform's JSON file and the operators' own TOML file.
+
+The fields of the Structs are the keys of these files.
+"""
 
 import os
 
@@ -7,7 +10,7 @@
 
 
 class SettingsError(Exception):
-    """One line per fault in `faults`."""
+    """Settings can't be used; `faults` has one line for each problem found."""
 
     def __init__(self, faults):
         super().__init__("; ".join(faults))
@@ -15,18 +18,22 @@
 
 
 class Member(Struct):
+    """Another controller of the deployment; `endpoint`: its address for other controllers."""
+
     label: str
     location: str
     endpoint: str
 
 
 class External(Struct):
+    """The addresses of the cloud's API and of the state service."""
+
     cloud: str
     state: str
 
 
 class Team(Struct):
-    """What a team is guaranteed, and the most its tasks may use at once; 0 is no limit."""
+    """A team's guarantee (`cpus`, `gpus`) and the limit on what its tasks use at once; 0 is no limit."""
 
     name: str
     cpus: float = 0.0
@@ -36,14 +43,20 @@
 
     @property
     def guarantee(self):
-        """(cpus, gpus): a guarantee above the limit counts up to the limit."""
+        """(cpus, gpus) guaranteed; a guarantee above the limit is reduced to the limit."""
         return tuple(
-            min(sure, most) if most else sure
-            for sure, most in ((self.cpus, self.cpus_max), (self.gpus, self.gpus_max))
+            min(guaranteed, limit) if limit else guaranteed
+            for guaranteed, limit in ((self.cpus, self.cpus_max), (self.gpus, self.gpus_max))
         )
 
 
 class Objective(Struct, rename={"klass": "class"}):
+    """A goal for a share of the jobs of a class.
+
+    `kind`: "finished" or "wait" (started) within `within_s` seconds, or "deadline": finished within `times`
+    the job's own due time.
+    """
+
     kind: str
     klass: str = ""
     share: float = 0.0
@@ -52,14 +65,15 @@
 
 
 class Workers(Struct):
+    """The workers' times in seconds: the report interval, the lease, and the limit to end cancelled tasks."""
+
     report_s: float
     lease_s: float
     cancel_s: float
 
 
 class LaterLimits(Struct):
-    """Limits that the state service will have from some moment on, without notice; what is left out
-    stays as it is."""
+    """Limits that the state service will apply from some moment on, without notice; None: unchanged."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -68,7 +82,7 @@
 
 
 class StateLimits(Struct):
-    """Requests and changes a second, the size of a value in KiB, and changes in one transaction."""
+    """The state service's limits: requests and writes per second, KiB per value, writes per transaction."""
 
     rps: float
     write_rps: float
@@ -78,9 +92,11 @@
 
     @property
     def value_bytes(self):
+        """The size limit of a value in bytes."""
         return int(self.value_kb * 1024)
 
-    def _with_later(self, names):
+    def _apply_later(self, names):
+        """Returns the limits, those of `names` reduced to the later ones where these are lower."""
         smaller = {
             name: min(getattr(self, name), later)
             for name in names
@@ -94,15 +110,15 @@
         )
 
     def planned(self):
-        """What every value and transaction is planned for: sizes that are taken now and later."""
-        return self._with_later(("value_kb", "txn_ops"))
+        """Returns the limits to plan for now: today's rates, and the sizes that fit both now and later."""
+        return self._apply_later(("value_kb", "txn_ops"))
 
     def lowered(self):
-        """The limits once the state service has lowered them."""
-        return self._with_later(("rps", "write_rps", "value_kb", "txn_ops"))
+        """Returns the limits once the state service has lowered them."""
+        return self._apply_later(("rps", "write_rps", "value_kb", "txn_ops"))
 
     def scaled(self, share):
-        """The same with a part of the rates."""
+        """Returns the limits with both rates multiplied by `share`, now and later."""
         later = self.next and LaterLimits(
             self.next.rps and self.next.rps * share,
             self.next.write_rps and self.next.write_rps * share,
@@ -113,17 +129,23 @@
 
 
 class CloudLimits(Struct):
+    """Requests per second to the cloud, and the seconds by which its machine list may lag behind."""
+
     rps: float
     list_lag_s: float
 
 
 class Quota(Struct):
+    """What one controller process may use: CPUs, MiB of memory, and sockets."""
+
     cpu: float = 1.0
     mem_mb: float = 512.0
     fd_limit: int = 1024
 
 
 class Deployment(Struct):
+    """What all controllers of a deployment have in common; `nodes`: how many controllers there are."""
+
     nodes: int
     teams: list[Team]
     workers: Workers
@@ -136,6 +158,12 @@
 
 
 class Settings(Struct):
+    """The platform's settings of one controller.
+
+    `front`: the address for users, probes and workers; `internal_addr`: that for other controllers;
+    `members`: the other controllers.
+    """
+
     label: str
     location: str
     front: str
@@ -146,23 +174,30 @@
 
 
 class Membership(Struct, forbid_unknown_fields=True):
-    """`lease_ratio`: a controller's own lease, to the workers'; `quota_partitions`: into how many parts the
-    settings' teams with limits are divided, each with a quota leader of its own."""
+    """The table `membership` of the operators' settings.
+
+    `lease_ratio`: a controller's own lease as a multiple of the workers'; `quota_partitions`: the number of
+    partitions of the teams with limits, each of which has its own quota leader.
+    """
 
     lease_ratio: float = 0.5
     quota_partitions: int = 1
 
 
 class Grants(Struct, forbid_unknown_fields=True):
-    """`lapse_ratio` of the workers' lease passes before an unused grant returns."""
+    """The table `grants`. `lapse_ratio`: when an unused grant lapses, as a multiple of the workers' lease."""
 
     lapse_ratio: float = 10 / 12
 
 
 class Fleet(Struct, forbid_unknown_fields=True):
-    """`drain_ratio` of a class's time aim is what waiting work may take to drain;
-    a machine idle for `idle_ratio` boot times is returned; `largest` machines at most, 0: as many
-    as all controllers have sockets."""
+    """The table `fleet`, which steers renting and returning machines.
+
+    `drain_ratio`: how long waiting work may take to drain, as a multiple of its class's time target;
+    `idle_ratio`: after how many boot times an idle machine is returned; `stuck_ratio`: after how many boot
+    times a machine that never reported is released; `largest`: the most machines, 0 for as many as all
+    controllers together have sockets.
+    """
 
     drain_ratio: float = 0.4
     idle_ratio: float = 1.0
@@ -171,32 +206,36 @@
 
 
 class Tuning(Struct, forbid_unknown_fields=True):
+    """The operators' own settings, one field per table of the TOML file."""
+
     membership: Membership = field(default_factory=Membership)
     grants: Grants = field(default_factory=Grants)
     fleet: Fleet = field(default_factory=Fleet)
 
 
 def address_fault(name, address):
-    """[fault] if `address` is not IPv4:port, else []."""
+    """Returns [fault] if `address` is not IPv4:port, else []."""
     host, colon, port = address.rpartition(":")
     parts = host.split(".")
-    good = (
+    is_valid = (
         colon
         and port.isdigit()
         and 0 < int(port) < 65536
         and len(parts) == 4
-        and all(part.isdigit() and int(part) < 256 for part in parts)
+        and all(table_name.isdigit() and int(table_name) < 256 for table_name in parts)
     )
-    return [] if good else [f"{name}: {address!r} is not IPv4:port"]
+    return [] if is_valid else [f"{name}: {address!r} is not IPv4:port"]
 
 
-PARTITIONS_MOST = 64  # quota partitions, each a label in the term's record
-TXN_LEAST = 3  # a cancellation: the record, its mark, and the key that all of them change
+MAX_PARTITIONS = 64  # each takes the label of its quota leader in the term's record
+MIN_TXN_OPS = 3  # a cancellation writes the record, its mark, and the key that every cancellation changes
 
 
 def state_faults(limits, labels):
-    """Faults of the state service's limits, now and later: what the smallest records and transactions of
-    a deployment with these members need must fit."""
+    """Returns the faults of the state service's limits, now and later, for members with these labels.
+
+    The smallest records and transactions of such a deployment must fit.
+    """
     faults = []
     later = limits.next
     for name in later.__struct_fields__ if later is not None else ():
@@ -205,26 +244,27 @@
             faults.append(f"deployment.state.next.{name}: must be above 0, is {value}")
     if faults:
         return faults
-    # The term as JSON: a member takes its label twice, two counts, a nonce and the marks between them, a
-    # share its home and its token. A job of a few ranges takes less.
-    needed = (160 + sum(2 * len(label) + 30 for label in labels) + 64 * 9) / 1024
-    for where, given in (("", limits), ("next.", later)):
-        if given is None:
+    # The size of the term record as JSON. A member takes its label twice, two counts, a nonce and the
+    # punctuation; each of the 64 shards takes 9 bytes for its leader and token. A job record with a few
+    # ranges is smaller.
+    needed_kb = (160 + sum(2 * len(label) + 30 for label in labels) + 64 * 9) / 1024
+    for prefix, checked in (("", limits), ("next.", later)):
+        if checked is None:
             continue
-        if given.value_kb is not None and given.value_kb < needed:
+        if checked.value_kb is not None and checked.value_kb < needed_kb:
             faults.append(
-                f"deployment.state.{where}value_kb: must be at least {needed:.2f} for the records "
-                f"of {len(labels)} members, is {given.value_kb:g}"
+                f"deployment.state.{prefix}value_kb: must be at least {needed_kb:.2f} for the records "
+                f"of {len(labels)} members, is {checked.value_kb:g}"
             )
-        if given.txn_ops is not None and given.txn_ops < TXN_LEAST:
+        if checked.txn_ops is not None and checked.txn_ops < MIN_TXN_OPS:
             faults.append(
-                f"deployment.state.{where}txn_ops: must be at least {TXN_LEAST}, is {given.txn_ops}"
+                f"deployment.state.{prefix}txn_ops: must be at least {MIN_TXN_OPS}, is {checked.txn_ops}"
             )
     return faults
 
 
 def parse(data):
-    """Settings from the bytes of the platform's file. Raises SettingsError."""
+    """Returns the Settings from the bytes of the platform's file. Raises SettingsError."""
     try:
         settings = msgspec.json.decode(data, type=Settings)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -240,9 +280,9 @@
         faults += address_fault(name, address)
     labels = [settings.label, *(member.label for member in settings.members)]
     if len(set(labels)) != len(labels):
-        faults.append("members: a label stands twice")
+        faults.append("members: a label is used more than once")
     if not all(labels):
-        faults.append("label: empty")
+        faults.append("label: must not be empty, here and in members")
     deployment = settings.deployment
     for name, value in (
         ("nodes", deployment.nodes),
@@ -264,43 +304,48 @@
     faults += state_faults(deployment.state, labels)
     names = [team.name for team in deployment.teams]
     for name in sorted({name for name in names if names.count(name) > 1}):
-        faults.append(f"deployment.teams: {name!r} stands twice")
+        faults.append(f"deployment.teams: the name {name!r} is used more than once")
     for team in deployment.teams:
-        for amount in ("cpus", "cpus_max", "gpus", "gpus_max"):
-            value = getattr(team, amount)
+        for field_name in ("cpus", "cpus_max", "gpus", "gpus_max"):
+            value = getattr(team, field_name)
             if not 0 <= value < float("inf"):
-                faults.append(f"deployment.teams: {team.name!r}: {amount}: must not be negative, is {value}")
+                faults.append(
+                    f"deployment.teams: {team.name!r}: {field_name}: must not be negative, is {value}"
+                )
     if deployment.workers.cancel_s <= deployment.workers.lease_s:
-        faults.append("deployment.workers.cancel_s: must be above lease_s")
+        faults.append("deployment.workers.cancel_s: must be above deployment.workers.lease_s")
     if faults:
         raise SettingsError(faults)
     return settings
 
 
 def parse_tuning(data):
-    """Tuning from the bytes of a TOML file. Raises SettingsError."""
+    """Returns the Tuning from the bytes of a TOML file. Raises SettingsError."""
     try:
         tuning = msgspec.toml.decode(data, type=Tuning)
     except (msgspec.DecodeError, ValueError) as error:
         raise SettingsError([str(error)]) from None
     faults = []
-    for part in ("membership", "grants", "fleet"):
-        table = getattr(tuning, part)
+    for table_name in ("membership", "grants", "fleet"):
+        table = getattr(tuning, table_name)
         for name in table.__struct_fields__:
             value = getattr(table, name)
             if not 0 < value < float("inf") and (name, value) != ("largest", 0):
-                faults.append(f"{part}.{name}: must be above 0, is {value}")
+                faults.append(f"{table_name}.{name}: must be above 0, is {value}")
     if tuning.membership.lease_ratio > 1:
         faults.append("membership.lease_ratio: must be at most 1")
-    if tuning.membership.quota_partitions > PARTITIONS_MOST:
-        faults.append(f"membership.quota_partitions: must be at most {PARTITIONS_MOST}")
+    if tuning.membership.quota_partitions > MAX_PARTITIONS:
+        faults.append(f"membership.quota_partitions: must be at most {MAX_PARTITIONS}")
     if faults:
         raise SettingsError(faults)
     return tuning
 
 
 def load(path, tuning_path=None):
-    """(Settings, Tuning) from files. Raises SettingsError."""
+    """Returns (Settings, Tuning) read from files. Raises SettingsError with the faults of both.
+
+    Without `tuning_path` the file that `$ROADHEAD_TUNING` names is read, or the defaults are used.
+    """
     faults = []
     settings = tuning = None
     try:
--- a/roadhead/state/client.py
+++ b/roadhead/state/client.py
@@ -1,7 +1,8 @@
-"""Requests to the state service, within its rates.
+"""The client of the state service: reads, transactions, leases and watches, within its rate limits.
 
-`Unavailable`: not executed. `Unsure`: no answer, so it may have been executed or may
-still be. `Conflict`: a condition failed. Nothing here retries; callers know what is safe.
+Errors tell what became of a request. `Unavailable`: it was not executed. `Unsure`: there was no answer, so it
+may have been executed or may still be. `Conflict`: a condition of a transaction failed. Nothing is retried
+here, since only the callers know whether that is safe.
 """
 
 import logging
@@ -14,114 +15,126 @@
 log = logging.getLogger("roadhead.state")
 
 
-USABLE = 0.95  # of a limit
-ANSWER_MOST_S = 3.0  # the longest wait for an answer
-COMPARE_MOST_S = 1.5  # and for that of a transaction that only compares, for which users wait
-FAILURES = 2  # one alone may be chance
-IDLE_PART = 0.2  # of its equal part is left to a controller that uses less
+USABLE_SHARE = 0.95  # of a rate limit is used
+ANSWER_TIMEOUT_S = 3.0  # the longest wait for an answer
+COMPARE_TIMEOUT_S = 1.5  # the longest wait for a transaction without writes, for which users wait
+MIN_FAILURES = 2  # failures in a row after which the service counts as failing; a single one may be chance
+IDLE_PART = 0.2  # of its equal part is left to a controller that uses less than that
 
 
 class Unavailable(Exception):
-    pass
+    """The request was not executed."""
 
 
 class TooLarge(Unavailable):
-    """A value or a transaction is beyond the limits: the same again would be refused again."""
+    """A value or a transaction exceeds the service's size limits, so a retry would be refused as well."""
 
 
 class Unsure(Exception):
-    pass
+    """There was no usable answer: the request may have been executed, or may still be."""
 
 
 class Conflict(Exception):
+    """Conditions of a transaction don't hold; `failed`: their keys."""
+
     def __init__(self, failed):
         super().__init__(f"changed meanwhile: {failed}")
         self.failed = failed
 
 
 class TooOld(Exception):
-    """The changes asked for are no longer kept."""
+    """The changes asked for were compacted away; the caller must list the keys anew."""
 
 
 class LeaseGone(Exception):
-    pass
+    """The lease has expired."""
 
 
 class StateClient:
-    """`on_lowered()`: the service's rates are the lower ones now, by what it refused."""
+    """Requests of one controller to the state service.
+
+    `limits`: the limits for the whole deployment, which `nodes` controllers share; `on_lowered()` is called
+    once when the service first refuses a request for its rate, and so has its announced lower limits.
+    """
 
     def __init__(self, loop, net, address, limits, nodes, on_lowered=None):
         self._loop = loop
         self._http = Client(loop, net, address, max_idle=6)
-        # Sizes fit both limits from the first write; rates are lower once the service says so.
+        # Sizes respect the lower limits from the start, since stored values must stay valid; the rates are
+        # lowered only when the service refuses a request.
         self.limits = limits.planned()
-        self._lowered = limits.lowered()
+        self._lower_limits = limits.lowered()
         self._on_lowered = on_lowered
-        self.lowered = False  # whether the service was found to have its later rates
-        self._nodes = nodes
+        self.lowered = False  # whether the lower limits apply
+        self._node_count = nodes
         rps, writes = self.limits.rps / nodes, self.limits.write_rps / nodes
-        self.requests = Bucket(loop, USABLE * rps, rps)
-        self.writes = Bucket(loop, USABLE * writes, writes)
-        self.answers = AnswerTimes(ANSWER_MOST_S)  # of transactions
+        self.requests = Bucket(loop, USABLE_SHARE * rps, rps)
+        self.writes = Bucket(loop, USABLE_SHARE * writes, writes)
+        self.answers = AnswerTimes(ANSWER_TIMEOUT_S)  # of transactions
         self.ok_at = -1e9  # when the last request that got a proper answer was sent
-        self._failing_since = None  # when the first of those was sent that failed since then
-        self._failures = 0  # and how many they are
+        self._failing_since = None  # when the first request that failed since then was sent
+        self._failure_count = 0  # requests that failed since then
 
     @property
     def batch(self):
-        """Writes in a transaction, as long as that can be chosen: where few controllers share much, what
-        each may write in a second is more than a transaction takes."""
-        return max(1, min(int(self.limits.write_rps / self._nodes), int(self.limits.txn_ops)))
+        """How many writes to put into one transaction, where the caller can choose.
+
+        At most one second's worth of this controller's part of the write rate, and at most what a transaction
+        takes.
+        """
+        return max(1, min(int(self.limits.write_rps / self._node_count), int(self.limits.txn_ops)))
 
     def share(self, others):
-        """Sets this controller's part of the limits: an equal one, or what the others leave.
+        """Sets this controller's part of the rate limits: an equal part, or what the others leave if more.
 
-        `others` has for each other controller what it uses of (requests, writes) a second,
-        or None for one that may use its equal part unseen.
+        `others`: for each other controller its (requests, writes) per second, or None for one whose use is
+        not known, and which may use its equal part.
         """
-        for place, (bucket, limit) in enumerate(
+        for index, (bucket, limit) in enumerate(
             ((self.requests, self.limits.rps), (self.writes, self.limits.write_rps))
         ):
-            equal = limit / self._nodes
-            # Of what another does not use a part is left to it, for it to start with.
-            left = limit - sum(
-                equal if used is None else min(equal, max(used[place], IDLE_PART * equal)) for used in others
+            equal_part = limit / self._node_count
+            # An idle controller keeps a part of its own, so that it can send at once when it has work.
+            available = limit - sum(
+                equal_part if used is None else min(equal_part, max(used[index], IDLE_PART * equal_part))
+                for used in others
             )
-            rate = USABLE * max(equal, left)
+            rate = USABLE_SHARE * max(equal_part, available)
             if abs(rate - bucket.rate) > 0.05 * bucket.rate:
                 bucket.retune(rate)
 
     def lower(self):
-        """The service has lowered its limits, as was said beforehand; there is no way back."""
-        if self.limits == self._lowered:
+        """Applies the lower limits, which the settings announce under `next`; they are never raised again."""
+        if self.limits == self._lower_limits:
             return
         self.lowered = True
         log.info(
-            "the state service's rates are lower now: %g requests, %g changes a second",
-            self._lowered.rps,
-            self._lowered.write_rps,
+            "the state service's lower limits apply now: %g requests, %g writes per second",
+            self._lower_limits.rps,
+            self._lower_limits.write_rps,
         )
-        self.limits = self._lowered
+        self.limits = self._lower_limits
         for bucket, limit in ((self.requests, self.limits.rps), (self.writes, self.limits.write_rps)):
-            bucket.retune(min(bucket.rate, USABLE * limit / self._nodes))
+            bucket.retune(min(bucket.rate, USABLE_SHARE * limit / self._node_count))
         if self._on_lowered is not None:
             self._on_lowered()
 
     def failing_s(self):
-        """For how long the service has answered nothing here; 0 while it does.
+        """Returns for how many seconds the service has failed to answer; 0 while it answers.
 
-        The member's duties go on asking, so that this ends soon after the trouble does.
+        The member's duties go on sending requests, so this returns to 0 soon after the service recovers.
         """
-        return self._loop.now() - self._failing_since if self._failures >= FAILURES else 0.0
+        return self._loop.now() - self._failing_since if self._failure_count >= MIN_FAILURES else 0.0
 
-    def _failed(self, sent_at):
+    def _count_failure(self, sent_at):
+        """Counts a failure, unless a request sent later has been answered."""
         if sent_at <= self.ok_at:
             return
-        if not self._failures:
+        if not self._failure_count:
             self._failing_since = sent_at
-        self._failures += 1
+        self._failure_count += 1
 
-    async def _call(self, method, target, body=b"", timeout=ANSWER_MOST_S):
+    async def _call(self, method, target, body=b"", timeout=ANSWER_TIMEOUT_S):
         await self.requests.take()
         return await self._send(method, target, body, timeout)
 
@@ -130,7 +143,7 @@
         try:
             status, data, _headers = await self._http.request(method, target, body, timeout)
         except NoAnswer as error:
-            self._failed(sent_at)
+            self._count_failure(sent_at)
             if error.sent:
                 raise Unsure(str(error)) from None
             raise Unavailable(str(error)) from None
@@ -141,19 +154,19 @@
             self.lower()
             raise Unavailable("429")
         if status >= 500:
-            self._failed(sent_at)
+            self._count_failure(sent_at)
             raise Unavailable(str(status))
         try:
             value = messages.decode_map(data) if data else {}
         except messages.Invalid as error:
             raise Unsure(str(error)) from None
         self.ok_at = max(self.ok_at, sent_at)
-        if self._failures and sent_at >= self._failing_since:
-            self._failures = 0
+        if self._failure_count and sent_at >= self._failing_since:
+            self._failure_count = 0
         return status, value
 
     async def get(self, key):
-        """(value, stamp), or (None, 0)."""
+        """Returns (value, stamp) of a key, or (None, 0) if it does not exist."""
         status, answer = await self._call("GET", f"/store/{key}")
         if status == 404:
             return None, 0
@@ -162,7 +175,7 @@
         return answer["data"], answer["stamp"]
 
     async def page(self, prefix, after="", limit=1000):
-        """([(key, value, stamp)], whether there is more, revision): one page, after a key."""
+        """Returns ([(key, value, stamp)], whether there are more, revision): one page after a key."""
         target = f"/store?under={prefix}&limit={limit}" + (f"&after={after}" if after else "")
         status, answer = await self._call("GET", target, timeout=6.0)
         if status != 200:
@@ -171,45 +184,50 @@
         return items, bool(answer.get("hasNext") and items), answer["epoch"]
 
     async def list(self, prefix):
-        """All (key, value, stamp) under `prefix`, and the revision of the first page."""
-        found, more, revision = await self.page(prefix)
+        """Returns all (key, value, stamp) under `prefix`, and the revision of the first page."""
+        entries, more, revision = await self.page(prefix)
         while more:
-            items, more, _revision = await self.page(prefix, found[-1][0])
-            found += items
-        return found, revision
+            items, more, _revision = await self.page(prefix, entries[-1][0])
+            entries += items
+        return entries, revision
 
     async def multi(self, conditions, writes, patient=False):
-        """A transaction; returns its revision. `conditions` are (key, stamp) pairs. `patient`: whoever sends
-        it won't look up what became of it, so it is waited for as long as for anything."""
+        """Executes a transaction and returns its revision.
+
+        `conditions`: (key, stamp) pairs that must all hold; `patient`: waits for the longest time for the
+        answer, as the caller won't look up the outcome if there is none.
+
+        Raises Conflict, LeaseGone, TooLarge, Unavailable or Unsure.
+        """
         await self.writes.take(len(writes))
         return await self.send(conditions, writes, patient)
 
     async def send(self, conditions, writes, patient=False):
-        """As `multi`, for writes that were already taken from the budget."""
-        timeout_s = ANSWER_MOST_S if patient else self.answers.timeout_s
-        status, answer = await self._transact(conditions, writes, timeout_s)
+        """Executes a transaction as `multi` does, for writes already counted against the write rate."""
+        timeout_s = ANSWER_TIMEOUT_S if patient else self.answers.timeout_s
+        status, answer = await self._send_transaction(conditions, writes, timeout_s)
         if status == 200:
             return answer["epoch"]
         if status == 409:
             raise Conflict(answer.get("failed", []))
         if status == 400 and answer.get("error") == "no such lease":
             raise LeaseGone
-        log.error("transaction refused: %s %s", status, answer)
+        log.error("the state service refused a transaction: %s %s", status, answer)
         if status == 400:
             raise TooLarge(str(answer.get("error", "")))
         raise Unavailable(f"multi: {status}")
 
     async def unchanged(self, conditions):
-        """Raises Conflict, naming keys that changed, unless every (key, stamp) still holds."""
-        timeout_s = min(COMPARE_MOST_S, self.answers.timeout_s)
-        status, answer = await self._transact(conditions, [], timeout_s)
+        """Checks that every (key, stamp) still holds. Raises Conflict with the keys that changed."""
+        timeout_s = min(COMPARE_TIMEOUT_S, self.answers.timeout_s)
+        status, answer = await self._send_transaction(conditions, [], timeout_s)
         if status == 409:
             raise Conflict(answer.get("failed", []))
         if status != 200:
             raise Unavailable(f"multi: {status}")
 
-    async def _transact(self, conditions, writes, timeout_s):
-        """(status, answer) of a transaction."""
+    async def _send_transaction(self, conditions, writes, timeout_s):
+        """Sends a transaction, measures its response time, and returns (status, answer)."""
         body = {"if": [{"k": key, "stamp": stamp} for key, stamp in conditions], "writes": writes}
         await self.requests.take()
         sent_at = self._loop.now()
@@ -217,13 +235,14 @@
         try:
             answered = await self._send("POST", "/multi", messages.encode(body), timeout_s)
         except Unsure:
-            if self._loop.now() >= deadline:  # else the connection broke: that tells nothing of time
+            if self._loop.now() >= deadline:  # else the connection broke, which is no timeout
                 self.answers.lost()
             raise
         self.answers.seen(self._loop.now() - sent_at)
         return answered
 
     async def lease(self, life_s):
+        """Creates a lease that expires after `life_s` seconds without renewal. Returns its id."""
         body = messages.encode({"lifeMs": int(life_s * 1000)})
         status, answer = await self._call("POST", "/leases", body)
         if status != 200:
@@ -231,7 +250,7 @@
         return answer["permit"]
 
     async def touch(self, permit):
-        """Renews a lease; raises LeaseGone."""
+        """Renews a lease. Raises LeaseGone if it has expired."""
         status, _answer = await self._call("POST", f"/leases/{permit}/touch", timeout=1.5)
         if status == 404:
             raise LeaseGone
@@ -239,7 +258,10 @@
             raise Unavailable(f"touch: {status}")
 
     async def changes(self, prefix, after, wait_s):
-        """(events, revision): waits up to `wait_s` for changes under `prefix`."""
+        """Waits up to `wait_s` for changes under `prefix` after the revision `after`.
+
+        Returns (events, revision). Raises TooOld if changes after that revision are no longer kept.
+        """
         target = f"/changes?under={prefix}&after={after}&waitMs={int(wait_s * 1000)}"
         status, answer = await self._call("GET", target, timeout=wait_s + 2.0)
         if status == 410:
--- a/roadhead/state/latency.py
+++ b/roadhead/state/latency.py
@@ -1,31 +1,32 @@
-"""How long to wait for the answer to a transaction, by the answers seen so far.
+"""Estimates how long to wait for the answer to a transaction, from the answers received so far.
 
-The estimate is that of TCP's retransmission timer (RFC 6298): a smoothed round trip plus four times
-its smoothed deviation. Whoever waits longer than that for one answer may take it for lost and look up
-what is stored. While transactions stay without an answer the wait doubles each time, so that a state
-service that has become slow is not taken for one that loses answers: the first answer that comes
-within the longer wait sets the estimate anew.
+The estimate is that of TCP's retransmission timer (RFC 6298): the smoothed round-trip time plus four times
+its smoothed deviation. After that time the caller may treat the answer as lost and read what is stored. Each
+transaction without an answer doubles the timeout, so that a state service that has become slow isn't
+mistaken for one that loses answers: the first answer within the longer timeout updates the estimate.
 """
 
-LEAST_PART = 1 / 30  # of the longest wait: pauses of the process itself are no sign of a loss
-FIRST_PART = 1 / 3  # of the longest wait, until the first answer was seen
+MIN_TIMEOUT_SHARE = (
+    1 / 30
+)  # of the longest timeout: short pauses of this process are no sign of a lost answer
+FIRST_TIMEOUT_SHARE = 1 / 3  # of the longest timeout, until the first answer has arrived
 MEAN_GAIN = 1 / 8
 DEVIATION_GAIN = 1 / 4
-DEVIATIONS = 4
+DEVIATION_FACTOR = 4
 
 
 class AnswerTimes:
-    """Round trips of one kind of request; waits are at most `most_s`."""
+    """Round-trip times of one kind of request, and the timeout derived from them, at most `most_s`."""
 
     def __init__(self, most_s):
-        self._least_s = most_s * LEAST_PART
-        self._most_s = most_s
+        self._min_timeout_s = most_s * MIN_TIMEOUT_SHARE
+        self._max_timeout_s = most_s
         self._mean_s = None
         self._deviation_s = 0.0
         self._backoff = 1
 
     def seen(self, seconds):
-        """An answer came that long after its request was sent."""
+        """Records an answer that arrived `seconds` after its request was sent."""
         self._backoff = 1
         if self._mean_s is None:
             self._mean_s, self._deviation_s = seconds, seconds / 2
@@ -34,19 +35,19 @@
         self._mean_s += MEAN_GAIN * (seconds - self._mean_s)
 
     def lost(self):
-        """No answer came within `timeout_s`."""
-        if self.timeout_s < self._most_s:
+        """Records that no answer arrived within `timeout_s`."""
+        if self.timeout_s < self._max_timeout_s:
             self._backoff *= 2
 
     @property
     def late_s(self):
-        """An answer that takes longer than this is unusually late."""
+        """The time after which an answer is unusually late, without the backoff after timeouts."""
         if self._mean_s is None:
-            return self._most_s * FIRST_PART
-        usual_s = self._mean_s + DEVIATIONS * self._deviation_s
-        return min(self._most_s, max(self._least_s, usual_s))
+            return self._max_timeout_s * FIRST_TIMEOUT_SHARE
+        expected_s = self._mean_s + DEVIATION_FACTOR * self._deviation_s
+        return min(self._max_timeout_s, max(self._min_timeout_s, expected_s))
 
     @property
     def timeout_s(self):
-        """How long to wait for the next answer."""
-        return min(self._most_s, self.late_s * self._backoff)
+        """How long to wait for the next answer, including the backoff after timeouts."""
+        return min(self._max_timeout_s, self.late_s * self._backoff)
--- a/roadhead/state/reader.py
+++ b/roadhead/state/reader.py
@@ -1,8 +1,8 @@
-"""Records read for users: one request answers many polls.
+"""Reads job records for users, in batches: one request to the state service answers many polls.
 
-Every poll is answered from what a request sent after it came has shown. Records seen before
-are not read again but compared, many in one transaction that only has conditions: as long as
-their stamps hold, what was read then is still true.
+Every poll is answered from a request that was sent after the poll arrived. Records in the cache are not read
+again but compared: one transaction without writes checks the stamps of many of them, and while these hold,
+the cached records are current.
 """
 
 from itertools import islice
@@ -10,48 +10,57 @@
 from roadhead.runtime.loop import Future, Timeout
 from roadhead.state.client import Conflict, Unavailable, Unsure
 
-LANES = 2  # batches under way at once
-READS = 4  # records read side by side in a batch
-ROUNDS = 3  # of comparing what did not change; the rest is read
-KEPT_MOST = 5000
-AMPLE = 0.6  # of the burst of requests: with less left, polls are gathered
-RESERVED = 0.1  # of the burst of requests is left to leases and starts: polls wait meanwhile
-GATHER = 0.05  # of the patience
-TRY_AGAIN = 0.25  # of the patience: a comparison whose answer was lost before that is sent again
-FAILING = 0.5  # of the patience: once nothing was answered for longer, one poll at a time waits
+MAX_BATCHES = 2  # batches served at the same time
+PARALLEL_READS = 4  # records of a batch that are read at the same time
+MAX_COMPARE_ROUNDS = 3  # comparisons per batch; records not found unchanged by then are read
+KEPT_MOST = 5000  # records
+BATCHING_BELOW = 0.6  # of the request burst: with less left, polls are held back for a moment to form batches
+RESERVED = 0.1  # of the request burst, kept for leases and starts: polls wait meanwhile
+BATCHING_DELAY = 0.05  # of `patience_s`: how long polls are held back
+RETRY_WITHIN = 0.25  # of `patience_s`: a comparison without an answer is repeated only within that time
+FAILING_AFTER = (
+    0.5  # of `patience_s`: after so long without any answer, polls are refused while one is waiting
+)
 
 
 class Reader:
-    """`whole(name, record)`: the record with what is stored apart from it; `derive(record)`: (the record as
-    it counts with others that it depends on, conditions as long as which that holds)."""
+    """A cache of records with many readers.
 
-    def __init__(self, loop, state, patience_s, places, whole, shorten, derive):
+    `places`: the prefixes under which a record may be stored, in the order in which it moves through them;
+    `whole(name, record)` returns the record with its parts that are stored separately; `shorten(record)`
+    returns the part of it that is cached; `derive(record)` returns (the record with the state that follows
+    from others that it depends on, the (key, stamp) conditions under which that holds).
+    """
+
+    def __init__(self, loop, state, patience_s, prefixes, complete, shorten, derive):
         self._loop = loop
         self._state = state
-        self._places = places  # prefixes under which a record may lie; it only moves onwards
+        self._prefixes = prefixes
         self._patience_s = patience_s
-        self._whole = whole
-        self._shorten = shorten  # record -> what of it is kept
+        self._complete = complete
+        self._shorten = shorten
         self._derive = derive
-        self._most = 4 * int(state.limits.txn_ops)  # conditions of a transaction
+        self._max_conditions = 4 * int(state.limits.txn_ops)  # per transaction
         self._waiting = {}  # name -> [Future]
-        self._known = {}  # name -> (record, conditions under which it is still what was read)
-        self._existing = {}  # names of which a record was read or made lately, in order as a set
-        self._lanes = 0
+        self._known = {}  # name -> (record, conditions under which it is still current)
+        self._existing = {}  # names of records that were read or created lately: an ordered set
+        self._active_batches = 0
 
     def exists(self, name):
-        """A record of that name stands. Reads sent before, and answered later, may not find it."""
+        """Notes that a record of this name exists. Reads sent earlier and answered later may not find it."""
         self._existing.pop(name, None)
         self._existing[name] = True
         if len(self._existing) > KEPT_MOST:
             del self._existing[next(iter(self._existing))]
 
     async def read(self, name):
-        """The record of that name as it is now, or None. Raises Unavailable at once if too many wait, or
-        if nothing is answered at present; Timeout once the patience is over.
+        """Returns the current record of this name, or None if there is none.
+
+        Raises Unavailable at once if too many polls wait or the state service answers nothing at present, and
+        Timeout after `patience_s`.
 
-        Records vanish with their tenant alone, so one that was seen to exist is looked for once more before
-        it is called missing.
+        Records are only removed with their tenant, so one that was seen to exist is read a second time before
+        it is reported missing.
         """
         record = await self._ask(name)
         if record is None and name in self._existing:
@@ -59,15 +68,15 @@
         return record
 
     async def _ask(self, name):
-        if len(self._waiting) >= 4 * self._most and name not in self._waiting:
+        if len(self._waiting) >= 4 * self._max_conditions and name not in self._waiting:
             raise Unavailable("busy")
-        if self._lanes and self._state.failing_s() > FAILING * self._patience_s:
+        if self._active_batches and self._state.failing_s() > FAILING_AFTER * self._patience_s:
             raise Unavailable("no answers from the state service")
         future = Future()
         self._waiting.setdefault(name, []).append(future)
-        if self._lanes < LANES:
-            self._lanes += 1
-            self._loop.spawn(self._lane(), "read")
+        if self._active_batches < MAX_BATCHES:
+            self._active_batches += 1
+            self._loop.spawn(self._serve_waiting(), "read")
         try:
             return await self._loop.within(self._patience_s, future)
         except Timeout:
@@ -75,50 +84,51 @@
             raise
 
     def _withdraw(self, name, future):
-        """Whoever asked has gone: nothing is read for him alone."""
+        """Removes a reader that gave up; the record is not read if no other waits for it."""
         futures = self._waiting.get(name, ())
         if future in futures:
             futures.remove(future)
             if not futures:
                 del self._waiting[name]
 
-    async def _lane(self):
+    async def _serve_waiting(self):
         try:
             while self._waiting:
                 if not self._state.requests.spare(RESERVED):
-                    await self._loop.sleep(self._patience_s * GATHER)
+                    await self._loop.sleep(self._patience_s * BATCHING_DELAY)
                     continue
-                if not self._state.requests.spare(AMPLE):
-                    # More is asked than could be read one by one: let a few come together.
-                    await self._loop.sleep(self._patience_s * GATHER)
-                batch = dict(islice(self._waiting.items(), self._most))
+                if not self._state.requests.spare(BATCHING_BELOW):
+                    # There are more polls than could be read one by one: wait for some to form a batch.
+                    await self._loop.sleep(self._patience_s * BATCHING_DELAY)
+                batch = dict(islice(self._waiting.items(), self._max_conditions))
                 for name in batch:
                     del self._waiting[name]
-                await self._serve(batch)
+                await self._serve_batch(batch)
         finally:
-            self._lanes -= 1
+            self._active_batches -= 1
 
-    async def _serve(self, batch):
-        known, conditions = {}, set()  # many depend on the same keys
+    async def _serve_batch(self, batch):
+        known, conditions = {}, set()  # a set, as many records depend on the same keys
         for name in batch:
             entry = self._known.get(name)
-            if entry is not None and len(conditions.union(entry[1])) <= self._most:
+            if entry is not None and len(conditions.union(entry[1])) <= self._max_conditions:
                 known[name] = entry
                 conditions.update(entry[1])
         if len(known) > 1:
             await self._compare(batch, known)
-        left = list(batch)
-        for at in range(0, len(left), READS):
+        unanswered = list(batch)
+        for at in range(0, len(unanswered), PARALLEL_READS):
             reads = [
-                self._loop.spawn(self._read(name, batch[name]), "read one") for name in left[at : at + READS]
+                self._loop.spawn(self._read_one(name, batch[name]), "read one")
+                for name in unanswered[at : at + PARALLEL_READS]
             ]
             for routine in reads:
                 await routine.done
 
     async def _compare(self, batch, known):
-        """Answers, and takes out of the batch, what has not changed since it was read."""
+        """Answers those of the batch that are cached and unchanged, and takes them out of the batch."""
         began_at = self._loop.now()
-        for _ in range(ROUNDS):
+        for _ in range(MAX_COMPARE_ROUNDS):
             sent_at = self._loop.now()
             try:
                 await self._state.unchanged(
@@ -137,28 +147,30 @@
                     return
                 continue
             except (Unavailable, Unsure) as error:
-                lost = isinstance(error, Unsure)
-                if lost and self._loop.now() - began_at < self._patience_s * TRY_AGAIN:
+                is_unsure = isinstance(error, Unsure)
+                if is_unsure and self._loop.now() - began_at < self._patience_s * RETRY_WITHIN:
                     continue
                 for name in known:
                     self._fail(batch.pop(name), error)
                 return
             for name, (record, _conditions) in known.items():
-                self._answer(batch.pop(name), record, sent_at)
+                self._resolve(batch.pop(name), record, sent_at)
             return
 
-    async def _read(self, name, futures):
+    async def _read_one(self, name, futures):
         sent_at = self._loop.now()
         conditions = []
         try:
-            for place in self._places:
-                record, stamp = await self._state.get(place + name)
-                conditions.append((place + name, stamp))
+            for prefix in self._prefixes:
+                record, stamp = await self._state.get(prefix + name)
+                conditions.append((prefix + name, stamp))
                 if record is not None:
                     self.exists(name)
                     del conditions[:-1]
-                    record, more = await self._derive(self._shorten(await self._whole(name, record)))
-                    conditions += more
+                    record, further_conditions = await self._derive(
+                        self._shorten(await self._complete(name, record))
+                    )
+                    conditions += further_conditions
                     break
         except (Unavailable, Unsure) as error:
             self._fail(futures, error)
@@ -167,11 +179,11 @@
         self._known[name] = (record, conditions)
         if len(self._known) > KEPT_MOST:
             del self._known[next(iter(self._known))]
-        self._answer(futures, record, sent_at)
+        self._resolve(futures, record, sent_at)
 
-    def _answer(self, futures, record, sent_at):
+    def _resolve(self, futures, record, sent_at):
         if self._loop.now() - sent_at > self._patience_s:
-            # It lay in the socket while this process stood still: it may be out of date.
+            # The answer lay in the socket while this process was stalled, and may be out of date.
             self._fail(futures, Unavailable("read too long ago"))
             return
         for future in futures:
--- a/roadhead/summary.py
+++ b/roadhead/summary.py
@@ -1,4 +1,7 @@
-"""The summary: what each controller says of its part, and all parts heard put together."""
+"""The summary for operators: each controller's part, and the parts of all controllers merged.
+
+Each controller sends its part to the others every few heartbeats, so that any of them can answer for all.
+"""
 
 import logging
 
@@ -6,15 +9,29 @@
 
 log = logging.getLogger("roadhead.summary")
 
-HEARD_BEATS = 15  # for which a controller's part counts
+PART_VALID_BEATS = 15  # after which a controller's part is out of date and it counts as not heard
 
 
 class Summary:
-    """`links`: the controllers heard; `state_ok()`: whether the state service answers; `changes()`: of
-    shares (shares/keeper.py)."""
+    """Builds this controller's part and merges it with those of the others.
+
+    `links`: {label: link} of the controllers heard; `is_state_ok()`: whether the state service answers;
+    `shard_moves()`: the recent moves of shards (shares/keeper.py).
+    """
 
     def __init__(
-        self, loop, settings, beat_s, member, links, state_ok, risk, troubles, counters, time_of_day, changes
+        self,
+        loop,
+        settings,
+        beat_s,
+        member,
+        links,
+        is_state_ok,
+        risk,
+        troubles,
+        counters,
+        time_of_day,
+        shard_moves,
     ):
         self._loop = loop
         self.label = settings.label
@@ -23,29 +40,30 @@
         self._beat_s = beat_s
         self._member = member
         self._links = links
-        self._state_ok = state_ok
+        self._is_state_ok = is_state_ok
         self._risk = risk
         self._troubles = troubles
         self._counters = counters
         self._time_of_day = time_of_day
-        self._changes = changes
-        self._parts = {}  # label -> (when, its SummaryNews)
-        self._waiting_since = {}  # class -> since when tasks of it wait here
+        self._shard_moves = shard_moves
+        self._parts = {}  # label -> (when it arrived, its SummaryNews)
+        self._waiting_since = {}  # class -> since when tasks of it have been waiting here
         self._book = self._home = self._dispatcher = self._fleet = None
 
     def begin(self, book, home, dispatcher, fleet):
-        """The parts of a new incarnation."""
+        """Takes the components of a new incarnation."""
         self._book, self._home, self._dispatcher, self._fleet = book, home, dispatcher, fleet
 
     def on_news(self, label, frame):
+        """Another controller sent its part."""
         self._parts[label] = self._loop.now(), frame
 
     def part(self):
-        """This controller's part of the summary."""
+        """Returns this controller's part of the summary, as a SummaryNews frame."""
         now = self._loop.now()
         book, home = self._book, self._home
         behind = []
-        if not self._state_ok():
+        if not self._is_state_ok():
             behind.append(f"{self.label}: the state service does not answer")
         failing_since = book.recorder.failing_since
         if failing_since is not None and now - failing_since > self._beat_s:
@@ -67,12 +85,12 @@
         ]
         failing = sum(machine.draining and bool(machine.errors) for machine in home.machines.values())
         rows = self._risk.rows(book.jobs.values(), self._time_of_day(), book.line.waits.by_class)
-        behind += self._stalled_classes()
+        behind += self._describe_stalled_classes()
         troubles = [f"{self.label}: {line}" for line in (*self._troubles.lines(), *self._counters.events())]
         return frames.SummaryNews(rows, failing, behind, troubles)
 
-    def _stalled_classes(self):
-        """Classes of which tasks wait here and none was started for a lease, and why."""
+    def _describe_stalled_classes(self):
+        """Returns a line for each class whose waiting tasks started nothing for a lease, with the reason."""
         now = self._loop.now()
         waiting = {}
         for job in self._book.jobs.values():
@@ -84,12 +102,13 @@
         for klass, jobs in sorted(waiting.items()):
             since = max(self._book.started_at.get(klass, 0.0), self._waiting_since.setdefault(klass, now))
             if now - since > self._lease_s:
-                why = self._why_stalled(jobs)
-                lines.append(f"{self.label}: {klass}: nothing started for {now - since:.0f} s: {why}")
-                log.info("stalled: %s, nothing started for %.0f s: %s", klass, now - since, why)
+                reason = self._stall_reason(jobs)
+                lines.append(f"{self.label}: {klass}: nothing started for {now - since:.0f} s: {reason}")
+                log.info("class %s is stalled: nothing started for %.0f s: %s", klass, now - since, reason)
         return lines
 
-    def _why_stalled(self, jobs):
+    def _stall_reason(self, jobs):
+        """Returns why none of these waiting jobs of one class starts tasks."""
         homes = {label for job in jobs for label in job.unsynced}
         if homes:
             return f"taken over, {', '.join(sorted(homes))} can't yet say what runs"
@@ -108,21 +127,24 @@
         return "no free room; more urgent work comes first, or machines are on their way"
 
     def look_for_trouble(self, lapsed):
-        """What this controller is out of touch with; noted with its length when it ends."""
-        holds, member = self._troubles.holds, self._member
-        holds("state service does not answer", not self._state_ok())
-        holds("not a member", not member.joined)
-        holds("own lease has ended", member.joined and lapsed)
-        holds("most workers are not heard", self._home.deaf())
-        holds(
+        """Notes which contacts are lost now; a loss is recorded with its duration when it ends."""
+        set_trouble, member = self._troubles.holds, self._member
+        set_trouble("state service does not answer", not self._is_state_ok())
+        set_trouble("not a member", not member.joined)
+        set_trouble("own lease has ended", member.joined and lapsed)
+        set_trouble("most workers are not heard", self._home.deaf())
+        set_trouble(
             "relieved of its machines, as workers could not reach it",
             member.term is not None and self.label in member.term.relieved,
         )
         for label in self._labels[1:]:
-            holds(f"{label} is not heard", label not in self._links)
+            set_trouble(f"{label} is not heard", label not in self._links)
 
     def shares(self):
-        """Who is home to what, by the term known here, and the changes seen since this process began."""
+        """Returns how many shards and machines each leader has, by the term known here, and the shard moves.
+
+        The moves are those seen since this process started.
+        """
         now, term = self._loop.now(), self._member.term
         homes = sorted(term.homes) if term is not None else ()
         counts = term.shares.counts(homes) if homes else {}
@@ -142,27 +164,29 @@
                     "agoS": round(now - at, 1),
                     "term": number,
                     "shares": shares,
-                    "from": giver,
-                    "to": taker,
+                    "from": from_label,
+                    "to": to_label,
                     "planned": planned,
                 }
-                for at, number, shares, giver, taker, planned in self._changes()
+                for at, number, shares, from_label, to_label, planned in self._shard_moves()
             ],
         }
 
     def whole(self):
-        """The parts of all controllers heard lately, put together."""
+        """Returns the parts of all controllers heard lately, merged into the answer for users."""
         now = self._loop.now()
         parts = {
-            label: part for label, (at, part) in self._parts.items() if now - at < HEARD_BEATS * self._beat_s
+            label: part
+            for label, (at, part) in self._parts.items()
+            if now - at < PART_VALID_BEATS * self._beat_s
         }
-        parts[self.label] = self.part()  # also while it is no member
+        parts[self.label] = self.part()  # also while it isn't a member
         classes = {}
         for part in parts.values():
             for klass, *counts in part.rows:
                 entry = classes.setdefault(klass, [0, 0, 0, 0])
-                for place, count in enumerate(counts):
-                    entry[place] += count
+                for index, count in enumerate(counts):
+                    entry[index] += count
         names = ("open", "done", "late", "atRisk")
         unheard = sorted(set(self._labels) - parts.keys())
         return {
--- a/roadhead/switchboard.py
+++ b/roadhead/switchboard.py
@@ -1,4 +1,4 @@
-"""What comes from other controllers: which part of this one it concerns, and whether it may speak."""
+"""Routes frames from other controllers to the component concerned, if the term entitles their sender."""
 
 import logging
 
@@ -8,8 +8,11 @@
 
 
 class Switchboard:
-    """`on_cancelled(jobs)` hears of cancellations, `on_lowered()` of lower limits of the state service,
-    `send(label, frame)` answers."""
+    """Routes frames by their type.
+
+    `on_cancelled(jobs)` is called with jobs cancelled elsewhere, `on_lowered()` when another controller found
+    the state service's limits lowered; `send(label, frame)` sends an answer.
+    """
 
     def __init__(self, member, send, on_cancelled, on_lowered):
         self._member = member
@@ -18,8 +21,11 @@
         self._on_lowered = on_lowered
         self._handlers = {}
 
-    def begin(self, home, book, dispatcher, fleet, takeover, summary, more):
-        """The parts of a new incarnation; `more`: handlers of further kinds of frames."""
+    def begin(self, home, book, dispatcher, fleet, takeover, summary, further_handlers):
+        """Takes the components of a new incarnation; `further_handlers`: {frame class: handler} of the desk.
+
+        A handler is called with the sender's label, its incarnation and the frame.
+        """
         member = self._member
 
         def on_demand(label, _incarnation, frame):
@@ -61,14 +67,16 @@
             frames.Wishes: lambda _label, _incarnation, frame: book.line.on_wishes(frame),
             frames.StateLowered: lambda _label, _incarnation, _frame: self._on_lowered(),
             frames.SummaryNews: lambda label, _incarnation, frame: summary.on_news(label, frame),
-            **more,
+            **further_handlers,
         }
 
     def tell_term(self, label):
+        """Sends the term known here to another controller."""
         member = self._member
         self._send(label, frames.TermNews(member.revision, messages.encode(member.term.to_record())))
 
     def on_frame(self, label, incarnation, frame):
+        """Handles a frame of the controller `label`; `incarnation` is 0 if that is not a member."""
         kind = type(frame)
         member = self._member
         if kind is frames.TermNews:
@@ -76,7 +84,7 @@
                 try:
                     member.adopt(messages.decode_map(frame.record), frame.revision)
                 except (messages.Invalid, KeyError, TypeError) as error:
-                    log.error("term from %s: %r", label, error)
+                    log.error("invalid term record from controller %s: %r", label, error)
             return
         if not member.joined:
             return
@@ -88,7 +96,7 @@
                 self.tell_term(label)
             return
         if not member.term.serves(label, incarnation):
-            return  # an incarnation that the term does not name has no say
+            return  # the term doesn't name this incarnation, so its frames are ignored
         handler = self._handlers.get(kind)
         if handler is not None:
             handler(label, incarnation, frame)
--- a/roadhead/telemetry.py
+++ b/roadhead/telemetry.py
@@ -1,4 +1,4 @@
-"""Logging to standard error, counters and time histograms."""
+"""Logging to standard error, event counters, and a log of troubles for the summary."""
 
 import logging
 import os
@@ -9,11 +9,11 @@
 
 
 class LogLevelError(ValueError):
-    """`LOG_LEVEL` names no level."""
+    """The environment variable `LOG_LEVEL` names no known level."""
 
 
 def log_level():
-    """The level that `LOG_LEVEL` names, `info` without it. Raises LogLevelError."""
+    """Returns the level that `LOG_LEVEL` names; `info` if it is unset or empty. Raises LogLevelError."""
     name = os.environ.get("LOG_LEVEL") or "info"
     if name.lower() not in LEVELS:
         raise LogLevelError(f"LOG_LEVEL: {name!r} is none of {', '.join(LEVELS)}")
@@ -21,7 +21,7 @@
 
 
 def set_up_logging(label):
-    """Logs to standard error from now on. Raises LogLevelError."""
+    """Sets up logging to standard error, each line with this process's label. Raises LogLevelError."""
     level = log_level()
     logging.basicConfig(
         stream=sys.stderr, level=level, format=f"%(levelname).1s {label} %(name)s: %(message)s"
@@ -30,43 +30,47 @@
 
 
 class Troubles:
-    """What went wrong since the start, for the morning reader: a bounded number of lines.
+    """What went wrong since this process started, for the summary.
 
-    Of each kind the count, the longest and the newest few are kept.
+    Its size is bounded: of each kind the count, the longest duration and the newest few times are kept, and
+    kinds beyond a maximum are counted as `others`.
     """
 
-    KEPT = 5
+    KEPT = 5  # newest times of each kind
 
     def __init__(self, now, time_of_day):
         self._now = now
         self._time_of_day = time_of_day
-        self._kinds = {}  # text -> [count, longest, newest times of day]
-        self._open = {}  # text -> since when
+        self._entries = {}  # text -> [count, longest duration in seconds, newest times of day]
+        self._active_since = {}  # text -> since when
 
     def note(self, text, seconds=0.0):
-        """Something happened, and lasted `seconds` until now."""
-        if text not in self._kinds and len(self._kinds) >= 100:
+        """Records a trouble that lasted for `seconds` and ends now."""
+        if text not in self._entries and len(self._entries) >= 100:
             text = "others"
-        entry = self._kinds.setdefault(text, [0, 0.0, []])
+        entry = self._entries.setdefault(text, [0, 0.0, []])
         entry[0] += 1
         entry[1] = max(entry[1], seconds)
         entry[2].append(self._time_of_day() - seconds)
         del entry[2][: -self.KEPT]
 
-    def holds(self, text, on):
-        """Whether something holds now; noted when it ends."""
-        if on:
-            self._open.setdefault(text, self._now())
-        elif text in self._open:
-            self.note(text, self._now() - self._open.pop(text))
+    def holds(self, text, is_active):
+        """Records whether a trouble is present now; it is counted, with its duration, when it ends."""
+        if is_active:
+            self._active_since.setdefault(text, self._now())
+        elif text in self._active_since:
+            self.note(text, self._now() - self._active_since.pop(text))
 
     def lines(self):
-        lines = [f"{text}: now, for {self._now() - since:.0f} s" for text, since in self._open.items()]
-        for text, (count, longest, times) in self._kinds.items():
-            clock = ", ".join(time.strftime("%H:%M:%S", time.gmtime(at)) for at in times)
-            many = "once" if count == 1 else f"{count} times, last"
-            lasted = f", {'up to ' if count > 1 else ''}{longest:.1f} s" if longest else ""
-            lines.append(f"{text}: {many} at {clock}{lasted}")
+        """Returns one line per kind of trouble, those present now first."""
+        lines = [
+            f"{text}: now, for {self._now() - since:.0f} s" for text, since in self._active_since.items()
+        ]
+        for text, (count, longest, ended_at) in self._entries.items():
+            clock_times = ", ".join(time.strftime("%H:%M:%S", time.gmtime(at)) for at in ended_at)
+            occurrences = "once" if count == 1 else f"{count} times, last"
+            duration = f", {'up to ' if count > 1 else ''}{longest:.1f} s" if longest else ""
+            lines.append(f"{text}: {occurrences} at {clock_times}{duration}")
         return lines
 
 
@@ -85,18 +89,20 @@
 
 
 class Counters:
-    """Named counts of this process. `events`: {name: its text in the summary}."""
+    """Counters of this process, by name. `events`: {name: its text in the summary}."""
 
     def __init__(self, events=EVENTS):
         self.counts = {}
         self._events = events
 
     def add(self, name, by=1):
+        """Increments a counter."""
         self.counts[name] = self.counts.get(name, 0) + by
 
     def events(self):
-        """Lines for the morning reader."""
+        """Returns a line for the summary for each counter in `events` that is not 0."""
         return [f"{text}: {self.counts[name]}" for name, text in self._events.items() if name in self.counts]
 
     def line(self):
+        """Returns all counters as one line of name=count, for the log."""
         return " ".join(f"{name}={count}" for name, count in sorted(self.counts.items()))
--- a/tests/test_limited_demand.py
+++ b/tests/test_limited_demand.py
@@ -163,8 +163,8 @@
     take = SharedHeadroom._take
 
     def alone(self, job, wanted):
-        self._left.clear()
-        self._levels.clear()
+        self._free_by_level.clear()
+        self._levels_by_team.clear()
         return take(self, job, wanted)
 
     patch.setattr(SharedHeadroom, "_take", alone)
@@ -172,7 +172,7 @@
 
 def any_room_counts(patch):
     """Room within a limit is rented for at its first sight, also between two tasks."""
-    patch.setattr(SteadyRoom, "_least", lambda self, label, cpus, now: cpus)
+    patch.setattr(SteadyRoom, "_lowest_in_window", lambda self, label, cpus, now: cpus)
 
 
 def boots_forgotten(patch):
--- a/tests/test_read_order.py
+++ b/tests/test_read_order.py
@@ -152,7 +152,7 @@
 
     async def compare(self, batch, known):
         for name, (record, _conditions) in known.items():
-            self._answer(batch.pop(name), record, self._loop.now())
+            self._resolve(batch.pop(name), record, self._loop.now())
 
     patch.setattr(Reader, "_compare", compare)
 
