--- a/roadhead/dispatch/demand.py
+++ b/roadhead/dispatch/demand.py
@@ -1,4 +1,4 @@
-"""Announces the demand of one controller: the tasks that wait here, sent to every home and to the renter."""
+"""Announces one controller's demand, the tasks that wait there, to all shard leaders and to the renter."""
 
 from roadhead.dispatch.headroom import Part, SharedHeadroom
 from roadhead.fleet.limited import Mark, marked
@@ -31,17 +31,17 @@
         self._gap_s = gap_s
         self._idle_count = idle_count
         self._request_pass = request_pass
-        # {(shape, startable, leads): count} as last sent; None if the homes' copy may be out of date.
+        # {(shape, startable, leads): count} as last sent; None if the leaders' copies may be out of date.
         self._announced = None
         self._scanned_at = -1e9
         self._timer = None
 
     def forget(self):
-        """Has the demand sent again: homes may count tasks as served that still wait."""
+        """Has the demand sent again: leaders may count tasks as served that still wait."""
         self._announced = None
 
     def refresh(self):
-        """Sends the demand again, in case the copies of the homes and the renter are out of date."""
+        """Sends the demand again, in case the copies of the leaders and the renter are out of date."""
         if self._announced:
             self._announced = None
             self._request_pass()
@@ -52,7 +52,7 @@
         self._scanned_at = -1e9
 
     def tell(self):
-        """Sends the demand to every member, so that homes grant machines that fit it to this controller.
+        """Sends the demand to every member, so that shard leaders grant fitting machines to this controller.
 
         It includes tasks that can't start yet, since new machines take long to boot. The queue is
         scanned at most once per `gap_s`, not with every placing pass.
@@ -138,7 +138,7 @@
     def _split(self, job, startable):
         """Returns the Parts of one job's waiting tasks.
 
-        The leading task is split from the others; where teams share the fleet, the tasks within the team's
+        The leading task is split from the others; where teams share the fleet, tasks within the team's
         guarantee are split from those that borrow.
         """
         rank = DOUBTFUL if job.doubtful else job.rank
--- a/roadhead/dispatch/dispatcher.py
+++ b/roadhead/dispatch/dispatcher.py
@@ -1,8 +1,8 @@
 """Places waiting tasks on granted machines: the idle list of one controller, and random placement.
 
-Homes grant free machines to a controller; until the grant lapses or is revoked, the controller alone may
-start tasks there. The module does no I/O: grants arrive as method calls, frames leave through
-`send(home, frame)`.
+The leader of a shard of machines grants free ones to a controller, which alone may start tasks there until
+the grant lapses or is revoked. The module does no I/O: grants arrive as method calls, frames leave through
+`send(leader, frame)`.
 """
 
 from roadhead.dispatch.demand import Teller
@@ -15,10 +15,10 @@
 
 
 class Listing:
-    """A granted machine on the idle list.
+    """A granted machine: an entry of the idle list, here called a listing.
 
     `room`: the free (cpus, gpus, memory); `serial`: the grant's number; `until`: when the grant lapses;
-    `taken`: how many starts the home has subtracted from the room it last reported; `unacked`: needs of the
+    `taken`: how many starts the leader has subtracted from the room it last reported; `unacked`: needs of the
     starts sent since, which are subtracted here.
     """
 
@@ -64,7 +64,7 @@
         self.room = tuple(free - part for free, part in zip(self.room, need, strict=True))
 
     def take(self, need):
-        """Records a start that the home has yet to confirm."""
+        """Records a start that the shard leader has yet to confirm."""
         self.unacked.append(need)
         self._use(need)
 
@@ -116,7 +116,7 @@
     # The idle list
 
     def on_grant(self, frame):
-        """A home grants a machine, or reports the new room of a granted one."""
+        """A shard leader grants a machine, or reports the new room of a granted one."""
         until = self._loop.now() + frame.lapse_s
         listing = self.idle.get(frame.machine)
         if listing is None or listing.serial != frame.serial:
@@ -126,7 +126,7 @@
         self.changed()
 
     def on_revoke(self, frame):
-        """A home takes a grant back."""
+        """A shard leader takes a grant back."""
         listing = self.idle.get(frame.machine)
         if listing is not None and listing.serial <= frame.serial:
             del self.idle[frame.machine]
@@ -134,19 +134,19 @@
             self.changed()
 
     def on_refused(self, frame):
-        """A home refused a start: the listing is out of date, so the grant is returned."""
+        """A shard leader refused a start: the listing is out of date, so the grant is returned."""
         listing = self.idle.pop(frame.machine, None)
         self._demand_broadcaster.forget()
         if listing is not None:
             self._send(listing.home, frames.Return(listing.id, listing.serial, len(self.idle)))
 
     def home_down(self, label):
-        """Drops the grants of a home whose link is down."""
+        """Drops the grants of a shard leader whose link is down."""
         for name in [n for n, listing in self.idle.items() if listing.home == label]:
             del self.idle[name]
 
     def on_term(self, old, new):
-        """Drops grants of machines whose home or fencing token has changed, or whose home has restarted."""
+        """Drops the grants of machines whose leader, fencing token or leader's incarnation has changed."""
         if old is None:
             self.idle.clear()
         for name, listing in list(self.idle.items()):
@@ -158,7 +158,7 @@
         self.changed()
 
     def refresh(self):
-        """Sends the demand again, in case the copies of the homes and the renter are out of date."""
+        """Sends the demand again, in case the copies of the leaders and the renter are out of date."""
         self._demand_broadcaster.refresh()
 
     def tell_again(self):
@@ -371,7 +371,7 @@
         """Sends the starts, and returns grants that no waiting task fits, with their last start if any.
 
         `left`: the jobs still waiting, as `_place_all` returns them. A listing that is no longer open is
-        useless, unless it is reserved for a gang or has lapsed, in which case its home takes it back.
+        useless, unless it is reserved for a gang or has lapsed, in which case its leader takes it back.
         """
         now = self._loop.now()
         open_ids = {listing.id for listing in self._open_listings}
@@ -390,7 +390,7 @@
                     if may_start_any is None:
                         may_start_any = any(self.may_start(job) for job in self.queue.waiting())
                     if may_start_any:
-                        # The home counted waiting tasks as served by this grant, so send the demand again.
+                        # The leader counted waiting tasks as served by this grant, so send the demand again.
                         self._demand_broadcaster.forget()
             if jobs:
                 last = len(jobs)
--- a/roadhead/fleet/fleet.py
+++ b/roadhead/fleet/fleet.py
@@ -1,6 +1,7 @@
 """Keeps the fleet: reads the catalogue and the machine list, rents machines and returns them.
 
-Each controller returns the machines homed at it; one member per term, the renter, rents for all.
+Each controller returns the machines of the shards that it leads; one member per term, the renter, rents for
+all.
 """
 
 import logging
@@ -79,7 +80,7 @@
             # Spot prices move slowly; while the catalogue is empty, retry soon.
             await self._loop.sleep(5 * self._lease_s if self.types else self._lag_s / 3)
 
-    # The list
+    # The machine list
 
     async def _poll_machines(self):
         while True:
@@ -207,7 +208,7 @@
         return cpus / max(1, len(self._member.term.members)) if self._member.joined else 0.0
 
     def totals(self):
-        """Returns (cpus, gpus, memory) of the whole fleet, as its homes last reported it."""
+        """Returns (cpus, gpus, memory) of the whole fleet, as the shard leaders last reported it."""
         cpus = gpus = memory = 0.0
         for rows in self.fleet.values():
             for type_name, _zone, _spot, count, *_free in rows:
@@ -298,7 +299,7 @@
                 if type_name in self.types:
                     busy += count - free_cpus / max(1e-6, self.types[type_name].cpus)
         for key, count in booting.items():
-            # Homes count machines as soon as they are listed, also while they boot.
+            # Shard leaders count machines as soon as they are listed, also while they boot.
             machines[key] = max(0, machines.get(key, 0) - count)
         machine_count = sum(machines.values()) + len(self._booting)
         wants = self._collect_wants()
--- a/roadhead/fleet/limited.py
+++ b/roadhead/fleet/limited.py
@@ -34,8 +34,8 @@
 def returnable(idle, told, fleet, types):
     """Returns how many of `idle` machines may be returned to the cloud.
 
-    Machines are kept for pending tasks, which start once their team's running tasks are known. Every home
-    keeps the same part of its idle machines.
+    Machines are kept for pending tasks, which start once their team's running tasks are known. Every
+    shard leader keeps the same part of its idle machines.
 
     `told`: {label: rows of its Demand}, `fleet`: {label: rows of its HomeNews}, `types`: the catalogue.
     """
@@ -83,7 +83,7 @@
 
     def __init__(self, window_s):
         self._window_s = window_s
-        self._history = {}  # label -> [(when, CPUs told of within limits)], oldest first
+        self._history = {}  # label -> [(when, CPUs demanded within limits)], oldest first
 
     def rentable(self, told, now):
         """Returns the rows that machines may be rented for, each as (urgency, mark, *the rest of the row).
--- a/roadhead/node.py
+++ b/roadhead/node.py
@@ -424,11 +424,11 @@
         )
 
     def home_of(self, report):
-        """Returns the label of a worker's home, or None if the worker would not reach it.
+        """Returns the label of the leader of a worker's shard, or None if the worker would not reach it.
 
         A worker sent to a silent controller waits there for 4 s, a third of a lease; without a label it asks
-        the next controller after 1 s. If the home is alive but hears hardly any worker, the network between
-        it and the workers is cut, and it is relieved: others become their homes.
+        the next controller after 1 s. If the leader is alive but hears hardly any worker, the network
+        between it and the workers is cut, and it is relieved: others take over its shards.
         """
         home = self.member.term.home(report.machine)
         if home == self.label:
@@ -437,7 +437,7 @@
         if link is None:
             return None
         if link.deaf:
-            if report.token:  # the worker has been in touch with its home before
+            if report.token:  # the worker has been in touch with its leader before
                 self.member.relieve(home)
             return None
         return home
@@ -520,8 +520,9 @@
     def cancelled(self, jobs):
         """Passes on cancellations of which a user is about to be told.
 
-        Every home that can be reached is told first. One that can't be reached gets no heartbeat from this
-        controller before it has been told (membership/touch.py). Raises Unavailable if that can't be ensured.
+        Every shard leader that can be reached is told first. One that can't be reached gets no heartbeat from
+        this controller before it has been told (membership/touch.py). Raises Unavailable if that can't be
+        ensured.
         """
         if not self.member.joined:
             # The others don't wait for heartbeats of a non-member, so tasks could run on without a warning.
@@ -579,8 +580,8 @@
             self._switchboard.tell_term(label)
         if old is None:
             self.api.readiness.changed()
-            # A controller that is not in the term may still run, and may have been the home of machines held
-            # here now until shortly before this one last ended. The same holds for a relieved one.
+            # A controller that is not in the term may still run, and may have led shards held here now
+            # until shortly before this one last ended. The same holds for a relieved one.
             all_members_joined = all(other.label in new.members for other in self.settings.members)
             self.home.begin(self.member.replaced and all_members_joined and not new.relieved)
             self.peers.reset()
--- a/roadhead/periodic_duties.py
+++ b/roadhead/periodic_duties.py
@@ -31,8 +31,8 @@
         self._cancel_s = cancel_s
         self._random = random
         self._is_judging = False
-        self.used = (0.0, 0.0)  # requests and writes per second to the state service in the last beat
-        self._schedule = (  # (interval in beats, duty), run in this order
+        self.used = (0.0, 0.0)  # requests and writes per second to the state service since the last heartbeat
+        self._schedule = (  # (interval in heartbeats, duty), run in this order
             (30, self._drop_stale_marks),
             (6, self._restore_if_reachable),
             (2, self._send_demand),
@@ -70,14 +70,14 @@
     def _check_machines(self):
         """Checks the workers' leases, and returns unused machines to the cloud."""
         node = self._node
-        node.authority.may_renew()  # must be called every beat, as Touch.look in membership/touch.py
+        node.authority.may_renew()  # must be called at every heartbeat, as Touch.look in membership/touch.py
         sure_at = node.authority.sure_at()
         self._check_relieved_controllers()
         unused = node.home.tick(sure_at)
         if node.home.undecided and not self._is_judging:
             self._is_judging = True
             self._loop.spawn(self._judge_leases(), "judge leases")
-        # Otherwise the machines may have a new home by now, and tasks that are not known here.
+        # Otherwise the machines may have a new shard leader by now, and tasks that are not known here.
         if not node.member.lapsed() or self._loop.now() - sure_at < TERM_VALID_BEATS * self._beat_s:
             node.fleet.release([machine.id for machine in unused])
             node.fleet.return_idle()
@@ -108,7 +108,7 @@
             self._loop.spawn(self._probe_workers(), "try workers")
 
     async def _probe_workers(self):
-        """Ends the relief, and so makes this controller a home again, if it reaches most probed workers."""
+        """Ends the relief, so that this controller leads shards again, if it reaches most probed workers."""
         node = self._node
         running = node.fleet.running
         probed = self._random.sample(running, min(MAX_SAMPLE, len(running)))
