--- a/roadhead/fleet/fleet.py
+++ b/roadhead/fleet/fleet.py
@@ -57,7 +57,7 @@
         self._sustained_headroom = SteadyRoom(DEMAND_LAGS * self._lag_s)
         self._backoffs = {}  # shapes without capacity: key -> (until when, refusals in a row)
         self._hire_count = 0
-        self._progress = {}  # key of a Want -> (waiting tasks, when that number last fell)
+        self._progress = {}  # key of a resource request -> (waiting tasks, when that number last fell)
         self._releasing = set()
         self._wake = Signal()
 
@@ -234,9 +234,9 @@
         """Returns {label: rows of its newest Demand} of the term's members."""
         return {label: rows for label, rows in self.demand.items() if label in self._member.term.members}
 
-    def _collect_wants(self):
-        """Returns the Wants: the demand of all members, summed over tasks with the same needs."""
-        wants = {}
+    def _collect_requests(self):
+        """Returns the resource requests: the demand of all members, summed over tasks with the same needs."""
+        requests = {}
         for row in self._sustained_headroom.rentable(self._demand_of_members(), self._loop.now()):
             rank, mark, cpus, gpus, memory, count, spot, zone, types, estimate_s, klass, slack, *_ = row
             aim = self._aims.get(klass)
@@ -246,30 +246,30 @@
                 wait_s = max(slack, self._tuning.drain_ratio * estimate_s)
                 wait_s = min(wait_s, self._tuning.drain_ratio * self._default_aim_s)
             key = (rank, mark, cpus, gpus, memory, spot, zone, tuple(types), klass)
-            want = wants.get(key)
-            if want is None:
-                want = Want(rank, cpus, gpus, memory, count, spot, zone, types, estimate_s, wait_s, mark)
-                wants[key] = want
+            request = requests.get(key)
+            if request is None:
+                request = Want(rank, cpus, gpus, memory, count, spot, zone, types, estimate_s, wait_s, mark)
+                requests[key] = request
             else:
-                total = want.count + count
-                want.estimate_s = (want.estimate_s * want.count + estimate_s * count) / total
-                want.count = total
-                want.wait_s = min(want.wait_s, wait_s)
+                total = request.count + count
+                request.estimate_s = (request.estimate_s * request.count + estimate_s * count) / total
+                request.count = total
+                request.wait_s = min(request.wait_s, wait_s)
         now = self._loop.now()
         progress = {}
-        for key, want in wants.items():
-            if want.mark is Mark.BEYOND:
+        for key, request in requests.items():
+            if request.mark is Mark.BEYOND:
                 continue
-            count, since = self._progress.get(key, (want.count, now))
-            if want.count < count or self._booting:
+            count, since = self._progress.get(key, (request.count, now))
+            if request.count < count or self._booting:
                 since = now  # tasks of it started, or machines are booting
-            progress[key] = (want.count, since)
-            if now - since > max(want.estimate_s, self._lease_s / 2):
+            progress[key] = (request.count, since)
+            if now - since > max(request.estimate_s, self._lease_s / 2):
                 # None of its tasks started for longer than a run should take: the machines are occupied by
                 # services or by tasks with far too low an estimate, and will not become free in time.
-                want.estimate_s, want.stuck = 0.0, True
+                request.estimate_s, request.stuck = 0.0, True
         self._progress = progress
-        return list(wants.values())
+        return list(requests.values())
 
     async def _rent_machines(self):
         while True:
@@ -302,9 +302,9 @@
             # Shard leaders count machines as soon as they are listed, also while they boot.
             machines[key] = max(0, machines.get(key, 0) - count)
         machine_count = sum(machines.values()) + len(self._booting)
-        wants = self._collect_wants()
+        requests = self._collect_requests()
         orders = plan(
-            wants,
+            requests,
             offers(self.types, self._zones),
             machines,
             idle,
@@ -339,7 +339,10 @@
                     shape.key,
                     sum(machines.values()),
                     sum(booting.values()),
-                    [(w.rank, w.count, round(w.estimate_s), round(w.wait_s)) for w in wants],
+                    [
+                        (request.rank, request.count, round(request.estimate_s), round(request.wait_s))
+                        for request in requests
+                    ],
                 )
                 self._count("machines_hired", len(names))
             for machine in names:
--- a/roadhead/fleet/plan.py
+++ b/roadhead/fleet/plan.py
@@ -90,7 +90,7 @@
         return fitting
 
 
-def plan(wants, shapes, machines, idle, busy, coming, refused, largest, patience, fresh=None):
+def plan(requests, shapes, machines, idle, busy, coming, refused, largest, patience, fresh=None):
     """Returns [(shape, count)] to rent, so that the waiting tasks start in time.
 
     `machines`: {shape key: running machines}; `idle`: {shape key: those of them without tasks}; `busy`: how
@@ -109,54 +109,56 @@
     spare_idle = {key: float(count) for key, count in idle.items() if key in by_key}
     total = sum(machines.values())
     spare_fresh = {key: float(count) for key, count in (fresh or {}).items() if key in by_key}
-    # Work of the wants seen so far, in seconds of one machine of the cheapest shape:
+    # Work of the requests seen so far, in seconds of one machine of the cheapest shape:
     backlog_s = 0.0  # within limits or without one
     beyond_limit_s = 0.0  # beyond limits
-    for want in sorted(wants, key=lambda want: (want.rank, want.mark is not Mark.BEYOND, want.wait_s)):
+    for request in sorted(
+        requests, key=lambda request: (request.rank, request.mark is not Mark.BEYOND, request.wait_s)
+    ):
         offers_by_price = sorted(
-            ((shape.price / slots, shape.key, slots) for shape in shapes if (slots := want.slots(shape))),
+            ((shape.price / slots, shape.key, slots) for shape in shapes if (slots := request.slots(shape))),
         )
         if not offers_by_price:
             continue
-        if want.rank == DOUBTFUL and any(
-            count and want.slots(by_key[key])
+        if request.rank == DOUBTFUL and any(
+            count and request.slots(by_key[key])
             for pool in (machines, coming)
             for key, count in pool.items()
             if key in by_key
         ):
             continue  # it is only tried on the machines there are
         cheapest, _key, per_machine = offers_by_price[0]
-        if want.mark is Mark.BEYOND:
-            beyond_limit_s += want.count * want.estimate_s / per_machine
+        if request.mark is Mark.BEYOND:
+            beyond_limit_s += request.count * request.estimate_s / per_machine
             continue
         # Booting machines serve the most urgent tasks.
-        left = _subtract_served(want, float(want.count), spare_arriving, by_key)
-        if want.mark is Mark.WITHIN:
+        left = _subtract_served(request, float(request.count), spare_arriving, by_key)
+        if request.mark is Mark.WITHIN:
             left = _subtract_served(
-                want, _subtract_served(want, left, spare_fresh, by_key), spare_idle, by_key
+                request, _subtract_served(request, left, spare_fresh, by_key), spare_idle, by_key
             )
-        backlog_s += want.count * want.estimate_s / per_machine
+        backlog_s += request.count * request.estimate_s / per_machine
         running_slots = sum(
-            count * want.slots(by_key[key]) for key, count in machines.items() if key in by_key
+            count * request.slots(by_key[key]) for key, count in machines.items() if key in by_key
         )
         arriving_slots = sum(
-            count * want.slots(by_key[key])
+            count * request.slots(by_key[key])
             for pool in (coming, rented)
             for key, count in pool.items()
             if key in by_key
         )
         # The expected time until a slot is free: on average half of a running task's time is left.
-        busy_s = busy / total * want.estimate_s / 2 if total else 0.0
+        busy_s = busy / total * request.estimate_s / 2 if total else 0.0
         for price, key, slots in _cheapest_first(offers_by_price, rented):
             if key in refused:
                 continue
-            wait_s = want.wait_s * (patience if price > 1.2 * cheapest else 1.0)
+            wait_s = request.wait_s * (patience if price > 1.2 * cheapest else 1.0)
             shortage = left
-            if not want.estimate_s and not want.stuck:
+            if not request.estimate_s and not request.stuck:
                 # It has no run time by which it would drain, but idle machines take some of it.
-                shortage = _subtract_served(want, left, spare_idle, by_key)
-            elif want.estimate_s > 0:
-                demand_s = backlog_s + beyond_limit_s if want.mark is Mark.WITHIN else backlog_s
+                shortage = _subtract_served(request, left, spare_idle, by_key)
+            elif request.estimate_s > 0:
+                demand_s = backlog_s + beyond_limit_s if request.mark is Mark.WITHIN else backlog_s
                 needed_slots = demand_s * per_machine / max(1e-3, wait_s)
                 shortage = min(
                     left, needed_slots - arriving_slots - running_slots * max(0.0, 1 - busy_s / wait_s)
@@ -170,10 +172,10 @@
     return [(by_key[key], count) for key, count in rented.items()]
 
 
-def _subtract_served(want, left, pool, by_key):
+def _subtract_served(request, left, pool, by_key):
     """Returns how many of `left` tasks remain after the machines of `pool` took some, and reduces `pool`."""
     for key, count in pool.items():
-        slots = want.slots(by_key[key])
+        slots = request.slots(by_key[key])
         if slots and left > 0:
             used = min(count, left / slots)
             pool[key] -= used
