--- a/roadhead/admission/sockets.py
+++ b/roadhead/admission/socket_budget.py
@@ -12,7 +12,7 @@
 # The remaining tenth is for the state service, the cloud and the other controllers.
 
 
-class Sockets:
+class SocketBudget:
     """Counts open connections against their shares.
 
     `limit`: the sockets that the process may have (`quota.fd_limit` of the settings); `count(name)` counts an
@@ -22,8 +22,8 @@
     def __init__(self, limit, count):
         self.inbound_most = max(4, int(INBOUND_SHARE * limit))
         self.workers_most = max(1, int(WORKER_SHARE * limit))
-        self.orders_most = max(2, int(COMMAND_SHARE * limit))
-        self.orders_kept = int(IDLE_COMMAND_SHARE * limit)
+        self.max_command_requests = max(2, int(COMMAND_SHARE * limit))
+        self.max_idle_command_connections = int(IDLE_COMMAND_SHARE * limit)
         self._count = count
         self._inbound = 0
         self._workers = 0
@@ -44,7 +44,7 @@
         self._workers += 1
         return True
 
-    def gone(self, worker):
+    def release(self, worker):
         """A connection was closed; `worker`: whether it was counted as a worker's."""
         self._inbound -= 1
         self._workers -= worker
--- a/roadhead/cli.py
+++ b/roadhead/cli.py
@@ -201,7 +201,7 @@
     args.directory = tempfile.mkdtemp(prefix="roadhead-") if not args.keep else None
     try:
         return cluster.main(args, [os.path.abspath(sys.argv[0])])
-    except cluster.Failed as error:
+    except cluster.ClusterError as error:
         print(f"roadhead: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
@@ -228,10 +228,10 @@
     """Returns the controller's Desk for tenants if `path` names a file with its settings, else None."""
     if not path:
         return None
-    from roadhead.tenants.desk import Desk
+    from roadhead.tenants.admission_controller import TenantAdmissionController
     from roadhead.tenants.settings import load
 
-    return Desk(loop, load(path), time.time)
+    return TenantAdmissionController(loop, load(path), time.time)
 
 
 def serve(settings, tuning, hosted):
--- a/roadhead/decision_log.py
+++ b/roadhead/decision_log.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class DecisionEntry:
     """One decision.
 
     `at`: the time of day in seconds; `subject`: {kind: id} of what it is about, such as machine, task, shard
@@ -80,7 +80,7 @@
 
     def note(self, decision, subject, **evidence):
         """Records a decision on `subject`, {kind: id}, and the facts that it is based on."""
-        entry = Entry(self._time_of_day(), decision, subject, evidence)
+        entry = DecisionEntry(self._time_of_day(), decision, subject, evidence)
         self._ring.append(entry)
         level = logging.INFO if decision in INFO_DECISIONS else logging.DEBUG
         if log.isEnabledFor(level):
--- a/roadhead/dispatch/demand.py
+++ b/roadhead/dispatch/demand_broadcast.py
@@ -1,8 +1,8 @@
 """Announces one controller's demand, the tasks that wait there, to all shard leaders and to the renter."""
 
-from roadhead.dispatch.headroom import Part, SharedHeadroom
-from roadhead.fleet.limited import Mark, marked
-from roadhead.fleet.plan import DOUBTFUL
+from roadhead.dispatch.headroom import SharedHeadroom, WaitingTasks
+from roadhead.fleet.provisioning import DOUBTFUL
+from roadhead.fleet.quota_limits import QuotaMark, encode_urgency
 from roadhead.wire import frames
 
 MAX_ROWS = 256  # rows of a Demand frame, which keeps it far below the frame size limit
@@ -14,17 +14,17 @@
 UNVERIFIED_SHARE = 0.25
 
 
-class Teller:
+class DemandBroadcaster:
     """Sends Demand frames to the members when the waiting work has changed, at most one per `gap_s`.
 
     `idle_count()` returns the length of the idle list; `request_pass()` schedules a placing pass, which calls
     `tell()` at its end.
     """
 
-    def __init__(self, loop, member, book, queue, send, counters, gap_s, idle_count, request_pass):
+    def __init__(self, loop, member, job_store, queue, send, counters, gap_s, idle_count, request_pass):
         self._loop = loop
         self._member = member
-        self._book = book
+        self._job_store = job_store
         self._queue = queue
         self._send = send
         self._count = counters.add
@@ -74,13 +74,13 @@
                 self._add_row(rows, part, part.within, part.mark)
             if part.within and part.startable and part.job.rank == first.job.rank and part.job.spec.image:
                 images[part.job.spec.image] = True
-        if self._queue.sharing is not None or any(leads for _shape, _startable, leads in rows):
+        if self._queue.fair_share is not None or any(leads for _shape, _startable, leads in rows):
             rows = dict(sorted(rows.items(), key=lambda item: item[1][3]))
         for part in parts:
             # Tasks beyond their team's limit come last: no machine is needed for them, so they are the first
             # to go where the number of rows is cut.
-            if part.within < part.count and part.mark is not Mark.PENDING:
-                self._add_row(rows, part, part.count - part.within, Mark.BEYOND)
+            if part.within < part.count and part.mark is not QuotaMark.PENDING:
+                self._add_row(rows, part, part.count - part.within, QuotaMark.BEYOND)
         announced = {key: row[0] for key, row in rows.items()}
         if announced == self._announced:
             return
@@ -125,13 +125,13 @@
     def _collect_parts(self):
         """Returns the Parts that wait or soon will, each with how much of it its team's limit admits."""
         parts = [part for job in self._queue.waiting() for part in self._split(job, True)]
-        for job in self._book.coming(UNVERIFIED_SHARE * self._queue.capacity()):
-            if job.free and not job.doubtful:
+        for job in self._job_store.arriving_jobs(UNVERIFIED_SHARE * self._queue.capacity()):
+            if job.unstarted and not job.suspected_faulty:
                 parts += self._split(job, False)
-        if self._book.quota.has_limits:
+        if self._job_store.quota.has_limits:
             # Startable tasks get the headroom first, in queue order.
-            SharedHeadroom(self._book.quota).share(
-                sorted(parts, key=lambda part: (not part.startable, part.place))
+            SharedHeadroom(self._job_store.quota).share(
+                sorted(parts, key=lambda part: (not part.startable, part.queue_position))
             )
         return parts
 
@@ -141,17 +141,21 @@
         The leading task is split from the others; where teams share the fleet, tasks within the team's
         guarantee are split from those that borrow.
         """
-        rank = DOUBTFUL if job.doubtful else job.rank
-        count = max(1, job.startable() - job.gathered)
-        if job.leads and startable:
-            first = Part(job, 1, rank, job.place, True, leads=True)
-            return [first, Part(job, count - 1, rank, job.later, True)][:count]
-        if self._queue.sharing is None or not startable:
-            return [Part(job, count, rank, job.place, startable, leads=job.leads)]
-        guaranteed = min(job.sure, count)
+        rank = DOUBTFUL if job.suspected_faulty else job.rank
+        count = max(1, job.startable() - job.reserved_tasks)
+        if job.first_task_leads and startable:
+            first = WaitingTasks(job, 1, rank, job.queue_position, True, first_task_leads=True)
+            return [first, WaitingTasks(job, count - 1, rank, job.borrowed_position, True)][:count]
+        if self._queue.fair_share is None or not startable:
+            return [
+                WaitingTasks(
+                    job, count, rank, job.queue_position, startable, first_task_leads=job.first_task_leads
+                )
+            ]
+        guaranteed = min(job.within_guarantee, count)
         parts = [
-            Part(job, guaranteed, rank, job.place, True),
-            Part(job, count - guaranteed, rank + BORROWING_RANK_STEP, job.later, True),
+            WaitingTasks(job, guaranteed, rank, job.queue_position, True),
+            WaitingTasks(job, count - guaranteed, rank + BORROWING_RANK_STEP, job.borrowed_position, True),
         ]
         return [part for part in parts if part.count > 0]
 
@@ -161,11 +165,11 @@
         # A gang's tasks must all run at once: with no run time in the row, the renter rents for all of them.
         work = 0.0 if job.gang else count * job.spec.estimate_s
         slack = self._queue.slack(job)
-        shape = (marked(part.rank, mark), *job.shape[1:])
-        startable = part.startable and mark in (Mark.PLAIN, Mark.WITHIN)
-        row = rows.get((shape, startable, part.leads))
+        shape = (encode_urgency(part.rank, mark), *job.shape[1:])
+        startable = part.startable and mark in (QuotaMark.PLAIN, QuotaMark.WITHIN)
+        row = rows.get((shape, startable, part.first_task_leads))
         if row is None:
-            rows[shape, startable, part.leads] = [count, work, slack, part.place]
+            rows[shape, startable, part.first_task_leads] = [count, work, slack, part.queue_position]
         else:
             row[0] += count
             row[1] += work
--- a/roadhead/dispatch/dispatcher.py
+++ b/roadhead/dispatch/dispatcher.py
@@ -5,28 +5,28 @@
 `send(leader, frame)`.
 """
 
-from roadhead.dispatch.demand import Teller
-from roadhead.dispatch.gangs import Gathering, place_gang
-from roadhead.dispatch.queue import Queue
-from roadhead.homes.machine import fits, times
+from roadhead.dispatch.demand_broadcast import DemandBroadcaster
+from roadhead.dispatch.gangs import GangReservations, place_gang
+from roadhead.dispatch.job_queue import JobQueue
+from roadhead.machines.machine import fits, fitting_count
 from roadhead.wire import frames
 
 MAX_ROUNDS = 16  # further rounds of a placing pass where teams share by guarantee and weight
 
 
-class Listing:
+class GrantedMachine:
     """A granted machine: an entry of the idle list, here called a listing.
 
-    `room`: the free (cpus, gpus, memory); `serial`: the grant's number; `until`: when the grant lapses;
+    `free`: the free (cpus, gpus, memory); `serial`: the grant's number; `until`: when the grant lapses;
     `taken`: how many starts the leader has subtracted from the room it last reported; `unacked`: needs of the
     starts sent since, which are subtracted here.
     """
 
     __slots__ = (
-        "home",
+        "free",
         "id",
         "images",
-        "room",
+        "leader",
         "serial",
         "spot",
         "taken",
@@ -38,7 +38,7 @@
 
     def __init__(self, frame, until):
         self.id = frame.machine
-        self.home = frame.home
+        self.leader = frame.leader
         self.serial = frame.serial
         self.type = frame.type
         self.zone = frame.zone
@@ -46,7 +46,7 @@
         self.images = set()
         self.taken = 0
         self.unacked = []
-        self.room = (0.0, 0.0, 0.0)
+        self.free = (0.0, 0.0, 0.0)
         self.until = until
 
     def update(self, frame, until):
@@ -55,13 +55,13 @@
         self.taken = max(self.taken, frame.taken)
         self.until = until
         self.images = set(frame.images)
-        self.room = (frame.cpus, frame.gpus, frame.memory)
+        self.free = (frame.cpus, frame.gpus, frame.memory)
         for need in self.unacked:
             self._use(need)
 
     def _use(self, need):
         """Subtracts a task's need from the room."""
-        self.room = tuple(free - part for free, part in zip(self.room, need, strict=True))
+        self.free = tuple(free - part for free, part in zip(self.free, need, strict=True))
 
     def take(self, need):
         """Records a start that the shard leader has yet to confirm."""
@@ -72,42 +72,42 @@
 class Dispatcher:
     """The scheduler of the jobs that one controller owns.
 
-    `aims`: {class: ClassAims}; `gap_s`: the shortest time between two Demand frames; `window_s`: jobs due
+    `aims`: {class: ClassTargets}; `gap_s`: the shortest time between two Demand frames; `window_s`: jobs due
     within it of one another count as equally urgent.
     """
 
     def __init__(
-        self, loop, label, member, book, aims, random, send, counters, gap_s, window_s, default_aim_s
+        self, loop, label, member, job_store, aims, random, send, counters, gap_s, window_s, default_aim_s
     ):
         self._loop = loop
         self.label = label
         self._member = member
-        self._book = book
+        self._job_store = job_store
         self._random = random
         self._send = send
         self._count = counters.add
         self._window_s = window_s
         self.idle = {}  # machine -> Listing
         self._placing = False
-        self.queue = Queue(loop, book, aims, default_aim_s, gap_s, window_s)
+        self.queue = JobQueue(loop, job_store, aims, default_aim_s, gap_s, window_s)
         self.preemption = None  # set where teams share by guarantee and weight: reclaims guaranteed room
-        self._gang_reservations = Gathering(loop, window_s, random, self.changed)
-        self._demand_broadcaster = Teller(
+        self._gang_reservations = GangReservations(loop, window_s, random, self.schedule_placement)
+        self._demand_broadcaster = DemandBroadcaster(
             loop,
             member,
-            book,
+            job_store,
             self.queue,
             send,
             counters,
             gap_s,
             lambda: len(self.idle),
-            self.changed,
+            self.schedule_placement,
         )
         # State of a placing pass: listings that may still take a task, and the room shapes that fit none.
         self._open_listings = []
         self._unplaceable_shapes = set()
 
-    def changed(self):
+    def schedule_placement(self):
         """Schedules a placing pass, unless one is scheduled already."""
         if not self._placing:
             self._placing = True
@@ -120,10 +120,10 @@
         until = self._loop.now() + frame.lapse_s
         listing = self.idle.get(frame.machine)
         if listing is None or listing.serial != frame.serial:
-            listing = self.idle[frame.machine] = Listing(frame, until)
+            listing = self.idle[frame.machine] = GrantedMachine(frame, until)
             self._count("grants_received")
         listing.update(frame, until)
-        self.changed()
+        self.schedule_placement()
 
     def on_revoke(self, frame):
         """A shard leader takes a grant back."""
@@ -131,18 +131,18 @@
         if listing is not None and listing.serial <= frame.serial:
             del self.idle[frame.machine]
             self._demand_broadcaster.forget()
-            self.changed()
+            self.schedule_placement()
 
     def on_refused(self, frame):
         """A shard leader refused a start: the listing is out of date, so the grant is returned."""
         listing = self.idle.pop(frame.machine, None)
         self._demand_broadcaster.forget()
         if listing is not None:
-            self._send(listing.home, frames.Return(listing.id, listing.serial, len(self.idle)))
+            self._send(listing.leader, frames.ReturnGrant(listing.id, listing.serial, len(self.idle)))
 
-    def home_down(self, label):
+    def leader_down(self, label):
         """Drops the grants of a shard leader whose link is down."""
-        for name in [n for n, listing in self.idle.items() if listing.home == label]:
+        for name in [n for n, listing in self.idle.items() if listing.leader == label]:
             del self.idle[name]
 
     def on_term(self, old, new):
@@ -150,21 +150,21 @@
         if old is None:
             self.idle.clear()
         for name, listing in list(self.idle.items()):
-            if old.place(name) != new.place(name) or old.incarnation(listing.home) != new.incarnation(
-                listing.home
-            ):
+            if old.leader_and_token(name) != new.leader_and_token(name) or old.incarnation(
+                listing.leader
+            ) != new.incarnation(listing.leader):
                 del self.idle[name]
         self._demand_broadcaster.forget()
-        self.changed()
+        self.schedule_placement()
 
     def refresh(self):
         """Sends the demand again, in case the copies of the leaders and the renter are out of date."""
         self._demand_broadcaster.refresh()
 
-    def tell_again(self):
+    def rebroadcast_demand(self):
         """Sends the demand again at once: a controller joined or its link came up."""
         self._demand_broadcaster.at_once()
-        self.changed()
+        self.schedule_placement()
 
     # Placing
 
@@ -206,10 +206,10 @@
             self._unplaceable_shapes.clear()
             self._collect_open_listings()
             left = self._place_all(starts)
-            for _ in range(MAX_ROUNDS if self.queue.sharing is not None else 0):
+            for _ in range(MAX_ROUNDS if self.queue.fair_share is not None else 0):
                 # In each round a borrowing tenant gets at most one quantum ahead of the next one.
                 if not self._open_listings or not any(
-                    not job.part and job.room_shape not in self._unplaceable_shapes
+                    not job.round_allowance and job.placement_key not in self._unplaceable_shapes
                     for job in self.queue.waiting()
                 ):
                     break
@@ -219,19 +219,19 @@
         self._demand_broadcaster.tell()
         if self.preemption is not None:
             self.preemption.waits(
-                [job for job in self.queue.waiting() if job.sure > 0 and self.may_start(job)]
+                [job for job in self.queue.waiting() if job.within_guarantee > 0 and self.may_start(job)]
             )
 
     def _collect_open_listings(self):
         """Sets the open listings: those with room for the smallest waiting task, not reserved for gangs."""
         now = self._loop.now()
-        cpus, memory = self.queue.least
+        cpus, memory = self.queue.smallest_task
         kept = self._gang_reservations.kept
         self._open_listings = [
             listing
             for listing in self.idle.values()
-            if listing.room[0] >= cpus - 1e-6
-            and listing.room[2] >= memory - 1e-6
+            if listing.free[0] >= cpus - 1e-6
+            and listing.free[2] >= memory - 1e-6
             and listing.until > now
             and listing.id not in kept
         ]
@@ -252,25 +252,27 @@
                     if job.gang:
                         if with_image and job.startable():
                             self._start_gang(job, starts)
-                    elif job.free.left and job.room_shape not in unplaceable:
+                    elif job.unstarted.left and job.placement_key not in unplaceable:
                         self._start_tasks_of(job, with_image, starts)
             for job in group:
-                if job.room_shape not in unplaceable and job.startable() > 0 and self.may_start(job):
-                    left[job.room_shape] = job
+                if job.placement_key not in unplaceable and job.startable() > 0 and self.may_start(job):
+                    left[job.placement_key] = job
         return left
 
     def may_start(self, job):
         """Whether the job's team limit admits one more of its tasks, or all of them for a gang."""
-        if not self._book.quota.limited(job.spec.team):
+        if not self._job_store.quota.limited(job.spec.team):
             return True
-        return times(job.need, self._book.quota.headroom(job.spec.team)) >= (len(job.free) if job.gang else 1)
+        return fitting_count(job.resources, self._job_store.quota.headroom(job.spec.team)) >= (
+            len(job.unstarted) if job.gang else 1
+        )
 
     def _group_by_due_time(self, waiting):
         """Yields runs of jobs due within `window_s`, among which those go first whose image is cached."""
         group = []
         latest = 0.0
         for job in waiting:
-            place = job.place
+            place = job.queue_position
             if group and place > latest:
                 yield group
                 group = []
@@ -282,16 +284,16 @@
 
     def _fitting(self, job):
         """Returns the open listings that have room for a task of the job and that it may use."""
-        need = job.need
+        need = job.resources
         return [
             listing
             for listing in self._open_listings
-            if fits(need, listing.room) and self._allowed(job, listing)
+            if fits(need, listing.free) and self._allowed(job, listing)
         ]
 
     def _start_gang(self, job, starts):
         """Starts all of a gang's tasks, or reserves the listings that fit until there are enough."""
-        if not self.may_start(job) or (self.queue.sharing is not None and job.part <= 0):
+        if not self.may_start(job) or (self.queue.fair_share is not None and job.round_allowance <= 0):
             return
         chosen, is_complete = place_gang(job, self._fitting(job), self._random)
         if not is_complete:
@@ -299,12 +301,12 @@
             self._collect_open_listings()
             return
         self._gang_reservations.started(job)
-        attempt = self._book.attempt()
+        attempt = self._job_store.attempt()
         for listing, count in chosen.items():
             tasks = starts.setdefault(listing.id, {}).setdefault(job, [])
             for _ in range(count):
-                listing.take(job.need)
-                tasks.append(self._book.bind(job, listing.id, listing.zone, attempt))
+                listing.take(job.resources)
+                tasks.append(self._job_store.bind(job, listing.id, listing.zone, attempt))
         self._collect_open_listings()
 
     def _start_tasks_of(self, job, with_image, starts):
@@ -318,12 +320,12 @@
         fitting = self._fitting(job)
         if not fitting:
             self._count("empty_list")
-            self._unplaceable_shapes.add(job.room_shape)
+            self._unplaceable_shapes.add(job.placement_key)
             return
         if with_image and image:
             fitting = [listing for listing in fitting if image in listing.images]
         has_zone_rule = job.spec.one_zone or job.spec.spread
-        if fitting and self._fill_listings(job, job.need, has_zone_rule, fitting, starts):
+        if fitting and self._fill_listings(job, job.resources, has_zone_rule, fitting, starts):
             self._collect_open_listings()
 
     def _fill_listings(self, job, need, has_zone_rule, fitting, starts):
@@ -333,21 +335,21 @@
         image.
         """
         spec = job.spec
-        unshared = self.queue.sharing is None
+        unshared = self.queue.fair_share is None
         left = None
         started = False
-        if self._book.quota.limited(spec.team):
-            left = self._book.quota.headroom(spec.team)
-        while job.free and fitting and (unshared or job.part > 0):
+        if self._job_store.quota.limited(spec.team):
+            left = self._job_store.quota.headroom(spec.team)
+        while job.unstarted and fitting and (unshared or job.round_allowance > 0):
             place = self._random.randrange(len(fitting))
             listing = fitting[place]
             fitting[place] = fitting[-1]
             fitting.pop()
             tasks = None
-            while job.free and fits(need, listing.room) and (unshared or job.part > 0):
+            while job.unstarted and fits(need, listing.free) and (unshared or job.round_allowance > 0):
                 if has_zone_rule and not self._zone_allowed(job, listing.zone):
                     break
-                if job.doubtful and job.startable() <= 0:
+                if job.suspected_faulty and job.startable() <= 0:
                     return started
                 if left is not None:
                     left = (left[0] - spec.cpus, left[1] - spec.gpus)
@@ -358,12 +360,12 @@
                 listing.take(need)
                 started = True
                 if not unshared:
-                    job.part -= 1
-                    job.sure -= job.sure > 0
-                tasks.append(self._book.bind(job, listing.id, listing.zone))
-                if job.leads:
-                    job.leads = False
-                    self._book.version += 1  # reorders the queue: its other tasks have a later position
+                    job.round_allowance -= 1
+                    job.within_guarantee -= job.within_guarantee > 0
+                tasks.append(self._job_store.bind(job, listing.id, listing.zone))
+                if job.first_task_leads:
+                    job.first_task_leads = False
+                    self._job_store.version += 1  # reorders the queue: its other tasks have a later position
                     return started
         return started
 
@@ -380,7 +382,7 @@
             jobs = starts.get(listing.id)
             if listing.id in open_ids:
                 is_useless = not any(
-                    fits(job.need, listing.room) and self._allowed(job, listing) for job in left.values()
+                    fits(job.resources, listing.free) and self._allowed(job, listing) for job in left.values()
                 )
             else:
                 is_useless = listing.until > now and listing.id not in self._gang_reservations.kept
@@ -398,21 +400,21 @@
                     last -= 1
                     self._send_start(job, listing, tasks, is_useless and not last)
             elif is_useless:
-                self._send(listing.home, frames.Return(listing.id, listing.serial, len(self.idle)))
+                self._send(listing.leader, frames.ReturnGrant(listing.id, listing.serial, len(self.idle)))
 
     def _send_start(self, job, listing, tasks, last):
         """Sends the start of tasks of one job; `last`: the grant is returned with it."""
         spec = job.spec
         self._send(
-            listing.home,
-            frames.Start(
+            listing.leader,
+            frames.StartTasks(
                 self._member.term.number,
                 listing.id,
                 listing.serial,
                 job.id,
                 tasks,
                 max(0, len(self.idle) - 1),
-                *job.need,
+                *job.resources,
                 spec.image or "",
                 spec.image_gb,
                 spec.save_s,
--- a/roadhead/dispatch/gangs.py
+++ b/roadhead/dispatch/gangs.py
@@ -7,9 +7,9 @@
 deadlock by each holding half of what they need.
 """
 
-from roadhead.homes.machine import times
+from roadhead.machines.machine import fitting_count
 
-MAX_RESERVE_WINDOWS = 2.5  # the longest reservation, as for large tasks (homes/rooms.py)
+MAX_RESERVE_WINDOWS = 2.5  # the longest reservation, as for large tasks (machines/capacity_grants.py)
 MIN_BACKOFF_WINDOWS = 1.0  # the shortest pause before the next reservation
 
 
@@ -19,7 +19,7 @@
     Listings are drawn at random and filled one by one. A gang with `one_zone` gets the zone in which most of
     its tasks fit; with `spread`, no zone gets more than half of the tasks (PROTOCOL: `together`, `scatter`).
     """
-    wanted = len(job.free)
+    wanted = len(job.unstarted)
     drawn = random.sample(listings, len(listings))
     zones = {listing.zone for listing in listings} if job.spec.one_zone else (None,)
     best, best_count = {}, -1
@@ -28,7 +28,7 @@
         for listing in drawn:
             if zone is not None and listing.zone != zone:
                 continue
-            count = min(left, times(job.need, listing.room))
+            count = min(left, fitting_count(job.resources, listing.free))
             if job.spec.spread:
                 count = min(count, (job.spec.tasks + 1) // 2 - per_zone.get(listing.zone, 0))
             if count > 0:
@@ -40,7 +40,7 @@
     return best, best_count == wanted
 
 
-class Gathering:
+class GangReservations:
     """The listings reserved for gangs in the current placing pass.
 
     `window_s`: the unit of the reservation and backoff times; `request_pass()` schedules a placing pass.
@@ -60,17 +60,17 @@
     def keep(self, job, chosen):
         """Reserves the chosen listings for the gang, or makes it back off once it reserved for too long."""
         now = self._loop.now()
-        if not job.gathering_since:
-            job.gathering_since = now
-        if now - job.gathering_since > MAX_RESERVE_WINDOWS * self._window_s:
+        if not job.reserving_since:
+            job.reserving_since = now
+        if now - job.reserving_since > MAX_RESERVE_WINDOWS * self._window_s:
             backoff_s = self._window_s * (MIN_BACKOFF_WINDOWS + self._random.random())
-            job.not_before, job.gathering_since, job.gathered = now + backoff_s, 0.0, 0
+            job.not_before, job.reserving_since, job.reserved_tasks = now + backoff_s, 0.0, 0
             self._loop.call_later(backoff_s, self._request_pass)
             return
-        job.gathered = sum(chosen.values())
+        job.reserved_tasks = sum(chosen.values())
         self.kept.update(listing.id for listing in chosen)
 
     @staticmethod
     def started(job):
         """Ends the reservation of a gang that has started."""
-        job.gathered, job.gathering_since = 0, 0.0
+        job.reserved_tasks, job.reserving_since = 0, 0.0
--- a/roadhead/dispatch/headroom.py
+++ b/roadhead/dispatch/headroom.py
@@ -1,28 +1,28 @@
 """Divides the headroom under teams' limits among their waiting jobs, so that demand doesn't exceed it."""
 
-from roadhead.fleet.limited import Mark
-from roadhead.homes.machine import times
+from roadhead.fleet.quota_limits import QuotaMark
+from roadhead.machines.machine import fitting_count
 
 
-class Part:
+class WaitingTasks:
     """Waiting tasks of one job that have the same urgency and position in the queue.
 
-    `startable`: whether they could start now; `leads`: whether this is the leading task of a job whose first
-    task is queued ahead of the others; `within`: how many of them the team's limit admits; `mark`: the state
-    of that limit.
+    `startable`: whether they could start now; `first_task_leads`: whether this is the leading task of a job
+    whose first task is queued ahead of the others; `within`: how many of them the team's limit admits;
+    `mark`: the state of that limit.
     """
 
-    __slots__ = ("count", "job", "leads", "mark", "place", "rank", "startable", "within")
+    __slots__ = ("count", "first_task_leads", "job", "mark", "queue_position", "rank", "startable", "within")
 
-    def __init__(self, job, count, rank, place, startable, *, leads=False):
+    def __init__(self, job, count, rank, place, startable, *, first_task_leads=False):
         self.job = job
         self.count = count
         self.rank = rank
-        self.place = place
+        self.queue_position = place
         self.startable = startable
-        self.leads = leads
+        self.first_task_leads = first_task_leads
         self.within = count
-        self.mark = Mark.PLAIN
+        self.mark = QuotaMark.PLAIN
 
 
 class SharedHeadroom:
@@ -46,8 +46,8 @@
     def _mark(self, team):
         levels = self._levels_by_team[team]
         if levels is None or not self._quota.counted(team):
-            return Mark.PENDING
-        return Mark.PLAIN if self._exhausted.isdisjoint(levels) else Mark.WITHIN
+            return QuotaMark.PENDING
+        return QuotaMark.PLAIN if self._exhausted.isdisjoint(levels) else QuotaMark.WITHIN
 
     def _take(self, job, wanted):
         """Returns how many of `wanted` tasks the limits admit, and takes them from the headroom."""
@@ -56,10 +56,10 @@
             return 0
         if job.gang and job in self._gang_fits:
             return wanted if self._gang_fits[job] else 0
-        minimum = max(wanted, len(job.free)) if job.gang else 1
+        minimum = max(wanted, len(job.unstarted)) if job.gang else 1
         admitted = max(wanted, minimum)
         for name in levels:
-            fitting = times(job.need, self._free_by_level[name])
+            fitting = fitting_count(job.resources, self._free_by_level[name])
             if fitting < admitted:
                 self._exhausted.add(name)
                 admitted = fitting
--- a/roadhead/dispatch/queue.py
+++ b/roadhead/dispatch/job_queue.py
@@ -8,7 +8,7 @@
 import math
 from bisect import insort
 
-from roadhead.jobs.book import LARGER_PART
+from roadhead.jobs.job_store import LARGER_PART
 
 NO_TARGETS = ((), (), ())
 # A target counts as missed once less than this part of the job's estimated run time is left until it.
@@ -28,17 +28,17 @@
 SORTED_JOBS_PER_GAP = 2000  # with more jobs in the queue, the order is reused for longer than `gap_s`
 
 
-class Queue:
+class JobQueue:
     """The jobs owned here, ordered by urgency and by slack: the time until their tasks must start.
 
-    `targets`: {class: ClassAims}; `default_aim_s`: the target assumed for a class without one; `gap_s`: how
-    long an order is reused; `window_s`: the unit of positions: jobs due within it of one another count as
+    `targets`: {class: ClassTargets}; `default_aim_s`: the target assumed for a class without one; `gap_s`:
+    how long an order is reused; `window_s`: the unit of positions: jobs due within it of one another count as
     equally urgent; `capacity()`: the CPUs of this controller's part of the fleet.
     """
 
-    def __init__(self, loop, book, targets, default_aim_s, gap_s, window_s):
+    def __init__(self, loop, job_store, targets, default_aim_s, gap_s, window_s):
         self._loop = loop
-        self._book = book
+        self._job_store = job_store
         self._class_targets = targets
         self._default_aim_s = default_aim_s
         self._gap_s = gap_s
@@ -46,10 +46,10 @@
         self._sorted_jobs = []  # the open jobs when it was last sorted, and those that arrived since
         self._sorted_at = -1e9
         self._sorted_version = 0  # the book's version when it was last sorted
-        self.least = (0.0, 0.0)  # (cpus, memory): no waiting task needs less
+        self.smallest_task = (0.0, 0.0)  # (cpus, memory): no waiting task needs less
         self.time_of_day = None
         self.capacity = lambda: 0.0
-        self.sharing = None  # set where teams share by guarantee and weight: orders the teams
+        self.fair_share = None  # set where teams share by guarantee and weight: orders the teams
 
     def slack(self, job):
         """Returns the seconds until the job's tasks must start; negative if they are overdue."""
@@ -64,7 +64,7 @@
         A job that never had one gets the room that would lie idle.
         """
         age_s = self.time_of_day() - job.accepted_at
-        targets = job.aims
+        targets = job.targets
         if targets is None:
             finish_within, deadline_factors, start_within = self._class_targets.get(
                 job.spec.klass, NO_TARGETS
@@ -76,7 +76,7 @@
             # Time spent waiting for the jobs that this one needs: it extends every target but the deadlines.
             held_s = job.released_at - job.accepted_at
             # (latest start, when the target is given up), both in seconds after acceptance
-            targets = job.aims = sorted(
+            targets = job.targets = sorted(
                 [
                     *(
                         (target_s - run_s, target_s - MIN_RUN_TIME_PART * run_s)
@@ -100,8 +100,10 @@
     def _set_position(self, job):
         """Sets the job's position, lower ones first. Returns the same as `_slack_and_deferral`."""
         slack, deferral_s = self._slack_and_deferral(job)
-        tier = DOUBTFUL_TIER if job.doubtful else TIER_BY_RANK[job.rank]
-        job.place = slack + (tier * TIER_STEP_WINDOWS + job.rank * RANK_STEP_WINDOWS) * self._window_s
+        tier = DOUBTFUL_TIER if job.suspected_faulty else TIER_BY_RANK[job.rank]
+        job.queue_position = (
+            slack + (tier * TIER_STEP_WINDOWS + job.rank * RANK_STEP_WINDOWS) * self._window_s
+        )
         return slack, deferral_s
 
     def _sort(self):
@@ -114,13 +116,15 @@
         more jobs its class has. No job is deferred for the sake of a less urgent one.
         """
         capacity = max(1e-6, self.capacity())
-        boosted, leading = self._boosted() if self.sharing is None else ({}, {})
+        boosted, leading = self._boosted() if self.fair_share is None else ({}, {})
         jobs = []
-        for job in self._book.jobs.values() if self.sharing is None else self.sharing.candidates():
+        for job in self._job_store.jobs.values() if self.fair_share is None else self.fair_share.candidates():
             slack, deferral_s = self._set_position(job)
-            job.place, job.leads = boosted.get(job, job.place), False
-            task_cpu_s = 0.0 if job.doubtful else job.spec.cpus * job.spec.estimate_s
-            jobs.append((job.place, slack, len(job.free) * task_cpu_s / capacity, deferral_s, job))
+            job.queue_position, job.first_task_leads = boosted.get(job, job.queue_position), False
+            task_cpu_s = 0.0 if job.suspected_faulty else job.spec.cpus * job.spec.estimate_s
+            jobs.append(
+                (job.queue_position, slack, len(job.unstarted) * task_cpu_s / capacity, deferral_s, job)
+            )
         jobs.sort(key=lambda entry: entry[0])
         completion_s = 0.0
         scheduled = {}  # rank -> heap of (-cost, number)
@@ -128,7 +132,7 @@
             if not duration_s:
                 continue
             completion_s += duration_s
-            cost = duration_s * self._book.seen.get(job.spec.klass, 1)
+            cost = duration_s * self._job_store.jobs_seen.get(job.spec.klass, 1)
             heapq.heappush(scheduled.setdefault(job.rank, []), (-cost, number))
             while completion_s > slack:
                 heap = min(
@@ -138,19 +142,19 @@
                     break
                 _cost, deferred = heapq.heappop(heap)
                 completion_s -= jobs[deferred][2]
-                jobs[deferred][4].place += jobs[deferred][3]  # to its next target
+                jobs[deferred][4].queue_position += jobs[deferred][3]  # to its next target
                 if deferred == number:
                     break
         for job, place in leading.items():
-            job.later, job.place, job.leads = job.place, place, True
-        self._sorted_jobs = sorted((entry[4] for entry in jobs), key=lambda job: job.place)
-        self.least = (
+            job.borrowed_position, job.queue_position, job.first_task_leads = job.queue_position, place, True
+        self._sorted_jobs = sorted((entry[4] for entry in jobs), key=lambda job: job.queue_position)
+        self.smallest_task = (
             min((job.spec.cpus for job in self._sorted_jobs), default=0.0),
             min((job.spec.memory for job in self._sorted_jobs), default=0.0),
         )
-        if self.sharing is not None:
-            self.sharing.arrange(list(self.waiting()))
-            self._sorted_jobs.sort(key=lambda job: job.place)
+        if self.fair_share is not None:
+            self.fair_share.assign_positions(list(self.waiting()))
+            self._sorted_jobs.sort(key=lambda job: job.queue_position)
 
     def _boosted(self):
         """Returns ({job: its position}, {job: the position of its first task}) of jobs that come early.
@@ -165,23 +169,23 @@
         starved_before = now - STARVATION_FACTOR * self._default_aim_s
         begun_by = now - LARGE_JOB_WAIT_WINDOWS * self._window_s
         starved, places, leading = {}, {}, {}
-        for job in self._book.jobs.values():
-            if job.released_at >= begun_by or job.state != "open" or job.doubtful:
+        for job in self._job_store.jobs.values():
+            if job.released_at >= begun_by or job.state != "open" or job.suspected_faulty:
                 continue
             if job.released_at < starved_before:
                 for key in ("class", job.spec.klass), ("team", job.spec.team):
                     starved.setdefault(key, []).append(job)
             if (
                 job.released_at < begun_by - LARGE_JOB_WAIT_WINDOWS * self._window_s
-                and self._book.among_largest(job)
+                and self._job_store.among_largest(job)
             ):
                 starved.setdefault(("largest", job.spec.klass), []).append(job)
-            if not job.bound and not job.done.count and self._book.among_largest(job, LARGER_PART):
+            if not job.bound and not job.done.count and self._job_store.among_largest(job, LARGER_PART):
                 leading[job] = (
                     STARVED_TIER * TIER_STEP_WINDOWS * self._window_s + job.released_at - starved_before
                 )
         for key, waiting in starved.items():
-            served = self._book.served.get(key, 0)
+            served = self._job_store.jobs_done.get(key, 0)
             missing = MIN_SERVED_SHARE * (served + len(waiting)) - served
             if missing <= 0:
                 continue
@@ -200,21 +204,24 @@
         The order stays nearly right for a while, since the slack of most jobs falls alike.
         """
         now = self._loop.now()
-        arrived = self._book.arrived
+        arrived = self._job_store.new_jobs
         valid_s = self._gap_s * max(1.0, len(self._sorted_jobs) / SORTED_JOBS_PER_GAP)
         if (
             anew
-            or self._sorted_version != self._book.version
+            or self._sorted_version != self._job_store.version
             or now - self._sorted_at > valid_s
-            or (arrived and self.sharing is not None)
+            or (arrived and self.fair_share is not None)
         ):
             self._sort()
-            self._sorted_version, self._sorted_at = self._book.version, now
+            self._sorted_version, self._sorted_at = self._job_store.version, now
         else:
             for job in arrived:
                 self._set_position(job)
-                insort(self._sorted_jobs, job, key=lambda job: job.place)
-                self.least = min(self.least[0], job.spec.cpus), min(self.least[1], job.spec.memory)
+                insort(self._sorted_jobs, job, key=lambda job: job.queue_position)
+                self.smallest_task = (
+                    min(self.smallest_task[0], job.spec.cpus),
+                    min(self.smallest_task[1], job.spec.memory),
+                )
         arrived.clear()
 
     def waiting(self):
@@ -222,10 +229,10 @@
         now = self._loop.now()
         for job in self._sorted_jobs:
             if (
-                job.free.left
+                job.unstarted.left
                 and job.state == "open"
-                and not job.unsynced
-                and not job.adopting
+                and not job.unreconciled_leaders
+                and not job.taking_over
                 and job.not_before <= now
                 and job.startable() > 0
             ):
--- a/roadhead/dispatch/aims.py
+++ b/roadhead/dispatch/targets.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 
-class ClassAims(NamedTuple):
+class ClassTargets(NamedTuple):
     """The time targets of one job class, in the order of the settings.
 
     `within`: seconds in which a job must finish; `times`: multiples of a job's own deadline by which it must
@@ -18,7 +18,7 @@
     waits: list
 
 
-def shortest_aims(objectives):
+def shortest_targets(objectives):
     """Returns {class: the shortest time in seconds that any of its objectives names}."""
     aims = {}
     for objective in objectives:
@@ -27,11 +27,11 @@
     return aims
 
 
-def class_aims(objectives):
-    """Returns {class: its ClassAims}."""
+def class_targets(objectives):
+    """Returns {class: its ClassTargets}."""
     by_class = {}
     for objective in objectives:
-        aims = by_class.setdefault(objective.klass, ClassAims([], [], []))
+        aims = by_class.setdefault(objective.klass, ClassTargets([], [], []))
         if objective.kind == "finished" and objective.within_s:
             aims.within.append(objective.within_s)
         elif objective.kind == "wait" and objective.within_s:
--- a/roadhead/fleet/fleet.py
+++ b/roadhead/fleet/fleet.py
@@ -6,11 +6,11 @@
 
 import logging
 
-from roadhead.cloud.client import CloudTrouble, NoCapacity
-from roadhead.fleet.limited import JustUp, Mark, SteadyRoom, returnable
-from roadhead.fleet.plan import Want, offers, plan
+from roadhead.cloud.client import CloudError, NoCapacityError
+from roadhead.fleet.provisioning import ResourceRequest, instance_offers, plan_machines
+from roadhead.fleet.quota_limits import QuotaMark, RecentlyBooted, SustainedHeadroom, returnable_count
 from roadhead.runtime.loop import Signal
-from roadhead.shares.hashing import pick
+from roadhead.shards.hashing import rendezvous_choice
 
 log = logging.getLogger("roadhead.fleet")
 
@@ -27,15 +27,15 @@
 class Fleet:
     """The fleet as one controller sees it, and its duties towards the cloud.
 
-    `tuning`: the table `fleet` of the operators' settings; `aims`: {class: its shortest time target in
-    seconds}; `default_aim_s`: the target assumed for the other classes.
+    `tuning`: the table `machine_counts` of the operators' settings; `aims`: {class: its shortest time target
+    in seconds}; `default_aim_s`: the target assumed for the other classes.
     """
 
     def __init__(self, loop, cloud, member, home, deployment, tuning, aims, default_aim_s, random, counters):
         self._loop = loop
         self._cloud = cloud
         self._member = member
-        self._home = home
+        self._shard_leader = home
         self._zones = deployment.zones
         self._lag_s = deployment.cloud.list_lag_s
         self._lease_s = deployment.workers.lease_s
@@ -50,11 +50,11 @@
         self.types = {}
         self.on_types = lambda: None  # called after the catalogue was read
         self.demand = {}  # label -> rows of its newest Demand
-        self.fleet = {}  # label -> rows of its newest HomeNews
+        self.machine_counts = {}  # label -> rows of its newest MachineCounts
         self.running = []  # addresses of the machines last listed as running
         self._booting = {}  # machine -> (shape key, when it was rented), until it is listed as running
-        self._recently_booted = JustUp(DEMAND_LAGS * self._lag_s)
-        self._sustained_headroom = SteadyRoom(DEMAND_LAGS * self._lag_s)
+        self._recently_booted = RecentlyBooted(DEMAND_LAGS * self._lag_s)
+        self._sustained_headroom = SustainedHeadroom(DEMAND_LAGS * self._lag_s)
         self._backoffs = {}  # shapes without capacity: key -> (until when, refusals in a row)
         self._hire_count = 0
         self._progress = {}  # key of a resource request -> (waiting tasks, when that number last fell)
@@ -73,9 +73,9 @@
         while True:
             try:
                 self.types = await self._cloud.catalogue()
-                self._home.known.types = self.types
+                self._shard_leader.registry.types = self.types
                 self.on_types()
-            except CloudTrouble as error:
+            except CloudError as error:
                 log.info("reading the catalogue failed: %s", error)
             # Spot prices move slowly; while the catalogue is empty, retry soon.
             await self._loop.sleep(5 * self._lease_s if self.types else self._lag_s / 3)
@@ -87,21 +87,23 @@
             asked_at = self._loop.now()
             try:
                 listed = await self._cloud.machines()
-            except (CloudTrouble, NoCapacity) as error:
+            except (CloudError, NoCapacityError) as error:
                 log.info("listing machines failed: %s", error)
                 await self._loop.sleep(self._lag_s / 2)
                 continue
             if self._member.joined:
                 self._on_machine_list(listed, asked_at)
-            pause_s = self._lag_s if not self._home.reconciliation.clean() else 2 * self._lag_s
-            cover_at = self._home.reconciliation.cover_at()
+            pause_s = (
+                self._lag_s if not self._shard_leader.reconciliation.is_reconciled() else 2 * self._lag_s
+            )
+            cover_at = self._shard_leader.reconciliation.next_list_at()
             if cover_at is not None:
                 pause_s = min(pause_s, cover_at - self._loop.now() + TIMER_MARGIN_S)
             await self._loop.sleep(pause_s)
 
     def _on_machine_list(self, listed, asked_at):
         """Handles a complete machine list that was requested at `asked_at`."""
-        home = self._home
+        home = self._shard_leader
         term = self._member.term
         now = self._loop.now()
         names = set()
@@ -117,12 +119,12 @@
                     self._recently_booted.add(item.id, hired[0], now)
             elif item.id not in self._booting:
                 self._booting[item.id] = ((item.type, item.zone, item.spot), now - item.age_s)
-            if term.home(item.id) == self._member.label:
+            if term.leader_of(item.id) == self._member.label:
                 mine.append(item)
         for name, (_key, since) in list(self._booting.items()):
             if name not in names and asked_at > since + 2 * self._lag_s:
                 del self._booting[name]
-        failed = home.covered(mine, asked_at)
+        failed = home.apply_machine_list(mine, asked_at)
         if failed:
             self.release(failed)
         to_release = []
@@ -145,7 +147,7 @@
             known_at = max(machine.heard_at or 0.0, machine.listed_at or 0.0)
             if asked_at > known_at + 2 * self._lag_s * 1.01:
                 to_release.append(machine.id)
-        to_release += home.reconciliation.vanished(names, asked_at)
+        to_release += home.reconciliation.missing_machines(names, asked_at)
         if to_release:
             self.release(to_release)
 
@@ -156,7 +158,7 @@
         names = [name for name in names if name not in self._releasing]
         for name in names:
             self._releasing.add(name)
-            machine = self._home.machines.get(name)
+            machine = self._shard_leader.machines.get(name)
             if machine is not None:
                 machine.draining = True
         for at in range(0, len(names), MAX_RELEASE):
@@ -165,31 +167,33 @@
     async def _release(self, names):
         try:
             await self._cloud.release(names)
-        except (CloudTrouble, NoCapacity) as error:
+        except (CloudError, NoCapacityError) as error:
             log.info("releasing machines failed: %s", error)
             await self._loop.sleep(self._lag_s)
         else:
             self._count("machines_released", len(names))
             for name in names:
                 self._booting.pop(name, None)
-                machine = self._home.machines.get(name)
+                machine = self._shard_leader.machines.get(name)
                 if machine is not None:
-                    self._home.machine_gone(machine, "released")
+                    self._shard_leader.machine_gone(machine, "released")
                 else:
-                    self._home.unknown_gone(name)
+                    self._shard_leader.unregistered_machine_gone(name)
         finally:
             self._releasing.difference_update(names)
 
     def return_idle(self):
         """Returns machines that have been idle for long enough, except those kept for pending tasks."""
-        ratio = self._tuning.idle_ratio * (SURPLUS_IDLE_FACTOR if self._home.plenty() else 1.0)
+        ratio = self._tuning.idle_ratio * (
+            SURPLUS_IDLE_FACTOR if self._shard_leader.has_spare_capacity() else 1.0
+        )
 
         def idle_s(machine):
             boot_s = machine.kind.boot_s if machine.kind is not None else self._lease_s
             return ratio * boot_s
 
-        machines = self._home.idle(idle_s)
-        count = returnable(len(machines), self._demand_of_members(), self.fleet, self.types)
+        machines = self._shard_leader.idle(idle_s)
+        count = returnable_count(len(machines), self._demand_of_members(), self.machine_counts, self.types)
         if count:
             self.release([machine.id for machine in machines[:count]])
 
@@ -210,7 +214,7 @@
     def totals(self):
         """Returns (cpus, gpus, memory) of the whole fleet, as the shard leaders last reported it."""
         cpus = gpus = memory = 0.0
-        for rows in self.fleet.values():
+        for rows in self.machine_counts.values():
             for type_name, _zone, _spot, count, *_free in rows:
                 kind = self.types.get(type_name)
                 if kind is not None:
@@ -226,8 +230,8 @@
         """Whether this controller rents for all: a hash over the term's members picks one of them."""
         return (
             self._member.joined
-            and not self._member.lapsed()
-            and pick(self._member.term.members, "renter") == self._member.label
+            and not self._member.lease_may_have_expired()
+            and rendezvous_choice(self._member.term.members, "renter") == self._member.label
         )
 
     def _demand_of_members(self):
@@ -248,7 +252,9 @@
             key = (rank, mark, cpus, gpus, memory, spot, zone, tuple(types), klass)
             request = requests.get(key)
             if request is None:
-                request = Want(rank, cpus, gpus, memory, count, spot, zone, types, estimate_s, wait_s, mark)
+                request = ResourceRequest(
+                    rank, cpus, gpus, memory, count, spot, zone, types, estimate_s, wait_s, mark
+                )
                 requests[key] = request
             else:
                 total = request.count + count
@@ -258,7 +264,7 @@
         now = self._loop.now()
         progress = {}
         for key, request in requests.items():
-            if request.mark is Mark.BEYOND:
+            if request.mark is QuotaMark.BEYOND:
                 continue
             count, since = self._progress.get(key, (request.count, now))
             if request.count < count or self._booting:
@@ -278,7 +284,7 @@
                 continue
             try:
                 await self._rent_once()
-            except CloudTrouble as error:
+            except CloudError as error:
                 log.info("renting machines failed: %s", error)
                 await self._loop.sleep(self._lag_s)
             await self._loop.sleep(self._lag_s / 6)
@@ -291,7 +297,7 @@
             booting[key] = booting.get(key, 0) + 1
         machines, idle = {}, {}
         busy = 0.0
-        for rows in self.fleet.values():
+        for rows in self.machine_counts.values():
             for type_name, zone, spot, count, empty, free_cpus, _gpus, _memory in rows:
                 key = (type_name, zone, spot)
                 machines[key] = machines.get(key, 0) + count
@@ -303,9 +309,9 @@
             machines[key] = max(0, machines.get(key, 0) - count)
         machine_count = sum(machines.values()) + len(self._booting)
         requests = self._collect_requests()
-        orders = plan(
+        orders = plan_machines(
             requests,
-            offers(self.types, self._zones),
+            instance_offers(self.types, self._zones),
             machines,
             idle,
             busy,
@@ -322,7 +328,7 @@
             name = f"r-{self._member.incarnation}-{self._hire_count}"
             try:
                 names = await self._hire_with_retries(name, shape, count)
-            except NoCapacity:
+            except NoCapacityError:
                 names = []
             if len(names) < count:
                 attempts = self._backoffs.get(shape.key, (0, 0))[1] + 1
@@ -352,8 +358,8 @@
         """Rents machines and returns their names; retries with the same name, which rents nothing twice."""
         for retries_left in (2, 1, 0):
             try:
-                return await self._cloud.hire(name, shape.kind.name, shape.zone, shape.spot, count)
-            except CloudTrouble:
+                return await self._cloud.rent(name, shape.kind.name, shape.zone, shape.spot, count)
+            except CloudError:
                 if not retries_left:
                     raise
                 await self._loop.sleep(self._lag_s / 3)
--- a/roadhead/fleet/plan.py
+++ b/roadhead/fleet/provisioning.py
@@ -1,11 +1,11 @@
 """Decides how many machines of which shape to rent: pure functions, no I/O."""
 
-from roadhead.fleet.limited import Mark
+from roadhead.fleet.quota_limits import QuotaMark
 
 DOUBTFUL = 4  # urgency of jobs that fail wherever they run; the protocol's own are below
 
 
-class Shape:
+class InstanceOffer:
     """A machine that the cloud offers: a machine type in a zone, spot or on-demand, and its price."""
 
     __slots__ = ("kind", "price", "spot", "zone")
@@ -22,10 +22,10 @@
         return self.kind.name, self.zone, self.spot
 
 
-def offers(types, zones):
+def instance_offers(types, zones):
     """Returns every Shape of the catalogue; a type that names no zones is on offer in all `zones`."""
     return [
-        Shape(kind, zone, spot)
+        InstanceOffer(kind, zone, spot)
         for kind in types.values()
         for zone in kind.zones or zones
         for spot in (True, False)
@@ -33,7 +33,7 @@
     ]
 
 
-class Want:
+class ResourceRequest:
     """Waiting tasks with the same needs, summed over all controllers.
 
     `estimate_s`: the mean run time of a task, 0 for gangs and stuck tasks; `wait_s`: the time in which they
@@ -56,7 +56,7 @@
     )
 
     def __init__(
-        self, rank, cpus, gpus, memory, count, spot, zone, types, estimate_s, wait_s, mark=Mark.PLAIN
+        self, rank, cpus, gpus, memory, count, spot, zone, types, estimate_s, wait_s, mark=QuotaMark.PLAIN
     ):
         self.rank = rank
         self.mark = mark
@@ -90,7 +90,7 @@
         return fitting
 
 
-def plan(requests, shapes, machines, idle, busy, coming, refused, largest, patience, fresh=None):
+def plan_machines(requests, shapes, machines, idle, busy, coming, refused, largest, patience, fresh=None):
     """Returns [(shape, count)] to rent, so that the waiting tasks start in time.
 
     `machines`: {shape key: running machines}; `idle`: {shape key: those of them without tasks}; `busy`: how
@@ -113,7 +113,7 @@
     backlog_s = 0.0  # within limits or without one
     beyond_limit_s = 0.0  # beyond limits
     for request in sorted(
-        requests, key=lambda request: (request.rank, request.mark is not Mark.BEYOND, request.wait_s)
+        requests, key=lambda request: (request.rank, request.mark is not QuotaMark.BEYOND, request.wait_s)
     ):
         offers_by_price = sorted(
             ((shape.price / slots, shape.key, slots) for shape in shapes if (slots := request.slots(shape))),
@@ -128,12 +128,12 @@
         ):
             continue  # it is only tried on the machines there are
         cheapest, _key, per_machine = offers_by_price[0]
-        if request.mark is Mark.BEYOND:
+        if request.mark is QuotaMark.BEYOND:
             beyond_limit_s += request.count * request.estimate_s / per_machine
             continue
         # Booting machines serve the most urgent tasks.
         left = _subtract_served(request, float(request.count), spare_arriving, by_key)
-        if request.mark is Mark.WITHIN:
+        if request.mark is QuotaMark.WITHIN:
             left = _subtract_served(
                 request, _subtract_served(request, left, spare_fresh, by_key), spare_idle, by_key
             )
@@ -158,7 +158,7 @@
                 # It has no run time by which it would drain, but idle machines take some of it.
                 shortage = _subtract_served(request, left, spare_idle, by_key)
             elif request.estimate_s > 0:
-                demand_s = backlog_s + beyond_limit_s if request.mark is Mark.WITHIN else backlog_s
+                demand_s = backlog_s + beyond_limit_s if request.mark is QuotaMark.WITHIN else backlog_s
                 needed_slots = demand_s * per_machine / max(1e-3, wait_s)
                 shortage = min(
                     left, needed_slots - arriving_slots - running_slots * max(0.0, 1 - busy_s / wait_s)
--- a/roadhead/fleet/limited.py
+++ b/roadhead/fleet/quota_limits.py
@@ -11,7 +11,7 @@
 URGENCY_STEP = 10  # above every urgency, also that of work that borrows
 
 
-class Mark(IntEnum):
+class QuotaMark(IntEnum):
     """The state of a team's limit for a row of waiting tasks."""
 
     PLAIN = 0  # no limit keeps any of the team's waiting tasks from starting
@@ -20,27 +20,27 @@
     PENDING = 3  # within the limit, but not all of the team's running tasks are known yet
 
 
-def marked(rank, mark):
+def encode_urgency(rank, mark):
     """Returns the urgency field of a Demand row: the urgency of the job combined with the mark."""
     return rank + URGENCY_STEP * mark
 
 
-def unmarked(urgency):
+def decode_urgency(urgency):
     """Returns (urgency of the job, mark) from the urgency field of a Demand row."""
     mark, rank = divmod(urgency, URGENCY_STEP)
-    return rank, Mark(mark)
+    return rank, QuotaMark(mark)
 
 
-def returnable(idle, told, fleet, types):
+def returnable_count(idle, told, fleet, types):
     """Returns how many of `idle` machines may be returned to the cloud.
 
     Machines are kept for pending tasks, which start once their team's running tasks are known. Every
     shard leader keeps the same part of its idle machines.
 
-    `told`: {label: rows of its Demand}, `fleet`: {label: rows of its HomeNews}, `types`: the catalogue.
+    `told`: {label: rows of its Demand}, `fleet`: {label: rows of its MachineCounts}, `types`: the catalogue.
     """
     rows = [row for rows in told.values() for row in rows]
-    pending = sum(row[1] * row[4] for row in rows if unmarked(row[0])[1] is Mark.PENDING)
+    pending = sum(row[1] * row[4] for row in rows if decode_urgency(row[0])[1] is QuotaMark.PENDING)
     if not pending:
         return idle
     rows = [row for rows in fleet.values() for row in rows if row[0] in types]
@@ -48,7 +48,7 @@
     return int(idle * max(0.0, 1.0 - pending / empty)) if empty > 0 else 0
 
 
-class JustUp:
+class RecentlyBooted:
     """Machines that came up within the last `window_s`.
 
     Tasks that start on them may still be counted as waiting in the demand last received.
@@ -73,7 +73,7 @@
     return cpus or gpus or 1.0
 
 
-class SteadyRoom:
+class SustainedHeadroom:
     """The headroom under limits that lasted throughout the last `window_s`, for each controller.
 
     Machines are rented only for that. Between the end of a task and the next start on its machine there is
@@ -92,21 +92,21 @@
         """
         needed = []
         for label, rows in told.items():
-            rows = [(*unmarked(row[0]), *row[1:]) for row in rows]
-            if any(row[1] is not Mark.PLAIN for row in rows):
+            rows = [(*decode_urgency(row[0]), *row[1:]) for row in rows]
+            if any(row[1] is not QuotaMark.PLAIN for row in rows):
                 rows = self._limit_to_sustained(label, rows, now)
             else:
                 self._history.pop(label, None)
-            needed += [row for row in rows if row[1] is not Mark.PENDING]
+            needed += [row for row in rows if row[1] is not QuotaMark.PENDING]
         return needed
 
     def _limit_to_sustained(self, label, rows, now):
         """Returns the rows, with the tasks marked WITHIN cut to the sustained headroom."""
-        cpus = sum(size(*row[2:4]) * row[5] for row in rows if row[1] is Mark.WITHIN)
+        cpus = sum(size(*row[2:4]) * row[5] for row in rows if row[1] is QuotaMark.WITHIN)
         left = self._lowest_in_window(label, cpus, now)
         remaining = []
         for row in rows:
-            if row[1] is Mark.WITHIN:
+            if row[1] is QuotaMark.WITHIN:
                 count = min(row[5], int(left / size(*row[2:4]) + 1e-6))
                 left -= count * size(*row[2:4])
                 row = (*row[:5], count, *row[6:])
--- a/roadhead/switchboard.py
+++ b/roadhead/frame_router.py
@@ -7,7 +7,7 @@
 log = logging.getLogger("roadhead.switchboard")
 
 
-class Switchboard:
+class FrameRouter:
     """Routes frames by their type.
 
     `on_cancelled(jobs)` is called with jobs cancelled elsewhere, `on_lowered()` when another controller found
@@ -21,7 +21,7 @@
         self._on_lowered = on_lowered
         self._handlers = {}
 
-    def begin(self, home, book, dispatcher, fleet, takeover, summary, further_handlers):
+    def begin(self, home, job_store, dispatcher, fleet, failover, summary, further_handlers):
         """Takes the components of a new incarnation; `further_handlers`: {frame class: handler} of the desk.
 
         A handler is called with the sender's label, its incarnation and the frame.
@@ -30,70 +30,80 @@
 
         def on_demand(label, _incarnation, frame):
             fleet.demand[label] = frame.rows
-            home.rooms.on_demand(label, frame)
+            home.capacity_granter.on_demand(label, frame)
             fleet.wake()
 
         def on_refused(_label, _incarnation, frame):
-            book.task_reports.on_free(frame)
+            job_store.task_reports.on_free(frame)
             dispatcher.on_refused(frame)
 
         def on_sync(label, incarnation, frame):
             if frame.term == member.term.number:
-                home.commanding.on_sync(label, incarnation, frame)
+                home.task_commands.on_sync(label, incarnation, frame)
 
         def on_home_news(label, _incarnation, frame):
-            fleet.fleet[label] = frame.rows
-            home.rooms.parked[label] = sum(row[5] for row in frame.rows)
+            fleet.machine_counts[label] = frame.rows
+            home.capacity_granter.free_cpus[label] = sum(row[5] for row in frame.rows)
 
         self._handlers = {
             frames.Demand: on_demand,
             frames.Grant: lambda _label, _incarnation, frame: dispatcher.on_grant(frame),
-            frames.Return: lambda label, _incarnation, frame: home.rooms.on_return(label, frame),
-            frames.Revoke: lambda _label, _incarnation, frame: dispatcher.on_revoke(frame),
-            frames.Start: home.commanding.on_start,
-            frames.Refused: on_refused,
-            frames.TaskStates: lambda label, _incarnation, frame: book.task_reports.on_tasks(label, frame),
-            frames.Free: lambda _label, _incarnation, frame: book.task_reports.on_free(frame),
-            frames.Stop: lambda _label, _incarnation, frame: home.commanding.on_stop(frame),
-            frames.Forget: lambda _label, _incarnation, frame: home.commanding.on_forget(frame),
-            frames.Sync: on_sync,
-            frames.Synced: lambda label, _incarnation, frame: book.reconciliation.on_synced(label, frame),
-            frames.Orphan: lambda _label, _incarnation, frame: takeover.on_orphan(frame.job),
-            frames.JobFails: lambda _label, _incarnation, frame: home.faults.on_job_fails(frame.job),
-            frames.Handover: lambda _label, _incarnation, frame: home.on_handover(frame),
+            frames.ReturnGrant: lambda label, _incarnation, frame: home.capacity_granter.on_return(
+                label, frame
+            ),
+            frames.RevokeGrant: lambda _label, _incarnation, frame: dispatcher.on_revoke(frame),
+            frames.StartTasks: home.task_commands.on_start,
+            frames.StartRefused: on_refused,
+            frames.TaskStates: lambda label, _incarnation, frame: job_store.task_reports.on_tasks(
+                label, frame
+            ),
+            frames.AttemptGone: lambda _label, _incarnation, frame: job_store.task_reports.on_free(frame),
+            frames.StopTask: lambda _label, _incarnation, frame: home.task_commands.on_stop(frame),
+            frames.ForgetAttempts: lambda _label, _incarnation, frame: home.task_commands.on_forget(frame),
+            frames.ReconcileRequest: on_sync,
+            frames.ReconcileDone: lambda label, _incarnation, frame: job_store.reconciliation.on_synced(
+                label, frame
+            ),
+            frames.OrphanedJob: lambda _label, _incarnation, frame: failover.on_orphan(frame.job),
+            frames.JobFaulty: lambda _label, _incarnation, frame: home.failure_history.on_job_fails(
+                frame.job
+            ),
+            frames.HandoverMachines: lambda _label, _incarnation, frame: home.on_handover(frame),
             frames.HandoverJobs: lambda _label, _incarnation, frame: home.on_handover_jobs(frame),
-            frames.HomeNews: on_home_news,
-            frames.JobsOver: lambda _label, _incarnation, frame: book.line.on_over(frame),
-            frames.Wishes: lambda _label, _incarnation, frame: book.line.on_wishes(frame),
-            frames.StateLowered: lambda _label, _incarnation, _frame: self._on_lowered(),
-            frames.SummaryNews: lambda label, _incarnation, frame: summary.on_news(label, frame),
+            frames.MachineCounts: on_home_news,
+            frames.JobsEnded: lambda _label, _incarnation, frame: job_store.dependency_queue.on_over(frame),
+            frames.UpstreamPriorities: lambda _label, _incarnation, frame: (
+                job_store.dependency_queue.on_wishes(frame)
+            ),
+            frames.StateLimitsLowered: lambda _label, _incarnation, _frame: self._on_lowered(),
+            frames.SummaryPart: lambda label, _incarnation, frame: summary.on_news(label, frame),
             **further_handlers,
         }
 
-    def tell_term(self, label):
+    def send_term(self, label):
         """Sends the term known here to another controller."""
         member = self._member
-        self._send(label, frames.TermNews(member.revision, messages.encode(member.term.to_record())))
+        self._send(label, frames.TermUpdate(member.revision, messages.encode(member.term.to_record())))
 
     def on_frame(self, label, incarnation, frame):
         """Handles a frame of the controller `label`; `incarnation` is 0 if that is not a member."""
         kind = type(frame)
         member = self._member
-        if kind is frames.TermNews:
+        if kind is frames.TermUpdate:
             if member.joined and incarnation:
                 try:
                     member.adopt(messages.decode_map(frame.record), frame.revision)
-                except (messages.Invalid, KeyError, TypeError) as error:
+                except (messages.InvalidMessageError, KeyError, TypeError) as error:
                     log.error("invalid term record from controller %s: %r", label, error)
             return
         if not member.joined:
             return
-        if kind is frames.CancelNews:
+        if kind is frames.JobsCancelled:
             self._on_cancelled(frame.jobs)
             return
-        if kind is frames.Beat:
+        if kind is frames.Heartbeat:
             if incarnation and frame.term < member.term.number:
-                self.tell_term(label)
+                self.send_term(label)
             return
         if not member.term.serves(label, incarnation):
             return  # the term doesn't name this incarnation, so its frames are ignored
--- a/roadhead/periodic_duties.py
+++ b/roadhead/periodic_duties.py
@@ -5,14 +5,14 @@
 
 import logging
 
-from roadhead.membership.touch import KEPT, SILENT_BEATS
-from roadhead.state.client import Unavailable, Unsure
+from roadhead.membership.cancellation_freshness import CANCELLATION_KEPT_FACTOR, SILENT_HEARTBEATS
+from roadhead.state.client import UnavailableError, UnknownOutcomeError
 from roadhead.wire import frames
 
 log = logging.getLogger("roadhead.node")
 
 # After its lease has lapsed, a member acts on a term for so long after the others showed it to be in force.
-TERM_VALID_BEATS = SILENT_BEATS + 1.5
+TERM_VALID_BEATS = SILENT_HEARTBEATS + 1.5
 MAX_MARKS_PER_RUN = 20  # stale cancellation marks deleted at a time
 MAX_SAMPLE = 3  # workers probed by a relieved controller
 
@@ -20,14 +20,14 @@
 class PeriodicDuties:
     """The duties of one Node.
 
-    `beat_s`: the seconds between two heartbeats; `cancel_s`: from the settings, the time by which a cancelled
-    job's tasks have ended; `random`: a random.Random.
+    `heartbeat_s`: the seconds between two heartbeats; `cancel_s`: from the settings, the time by which a
+    cancelled job's tasks have ended; `random`: a random.Random.
     """
 
-    def __init__(self, loop, node, beat_s, cancel_s, random):
+    def __init__(self, loop, node, heartbeat_s, cancel_s, random):
         self._loop = loop
         self._node = node
-        self._beat_s = beat_s
+        self._heartbeat_s = heartbeat_s
         self._cancel_s = cancel_s
         self._random = random
         self._is_judging = False
@@ -46,21 +46,21 @@
         node = self._node
         beats = 0
         while True:
-            await self._loop.sleep(self._beat_s)
-            node.look_for_trouble()
+            await self._loop.sleep(self._heartbeat_s)
+            node.check_connectivity()
             node.cancellations.prune(self._loop.now())
             if not node.member.joined:
                 continue
             self._check_machines()
             self._share_state_limits()
-            node.dispatcher.changed()
-            node.takeover.tell()
-            node.keeper.tick(node.home)
-            node.book.line.tick()
-            node.member.raise_gate()
+            node.dispatcher.schedule_placement()
+            node.failover.notify_quota_leaders()
+            node.shard_balancer.tick(node.shard_leader)
+            node.job_store.dependency_queue.refresh_priorities()
+            node.member.advance_format_gate()
             beats += 1
-            if node.desk is not None:
-                node.desk.tick(beats)
+            if node.tenant_admission is not None:
+                node.tenant_admission.tick(beats)
             for interval_beats, duty in self._schedule:
                 if beats % interval_beats == 0:
                     duty()
@@ -70,37 +70,42 @@
     def _check_machines(self):
         """Checks the workers' leases, and returns unused machines to the cloud."""
         node = self._node
-        node.authority.may_renew()  # must be called at every heartbeat, as Touch.look in membership/touch.py
-        sure_at = node.authority.sure_at()
+        # must be called at every heartbeat, as CancellationFreshness.look in
+        # membership/cancellation_freshness.py
+        node.authority.can_renew_leases()
+        term_confirmed_at = node.authority.term_confirmed_at()
         self._check_relieved_controllers()
-        unused = node.home.tick(sure_at)
-        if node.home.undecided and not self._is_judging:
+        unused = node.shard_leader.tick(term_confirmed_at)
+        if node.shard_leader.has_undecided_leases and not self._is_judging:
             self._is_judging = True
             self._loop.spawn(self._judge_leases(), "judge leases")
         # Otherwise the machines may have a new shard leader by now, and tasks that are not known here.
-        if not node.member.lapsed() or self._loop.now() - sure_at < TERM_VALID_BEATS * self._beat_s:
+        if (
+            not node.member.lease_may_have_expired()
+            or self._loop.now() - term_confirmed_at < TERM_VALID_BEATS * self._heartbeat_s
+        ):
             node.fleet.release([machine.id for machine in unused])
             node.fleet.return_idle()
 
     async def _judge_leases(self):
         """Confirms that the term is in force, then judges the leases that ended since that was last known."""
         node = self._node
-        home = node.home
+        home = node.shard_leader
         try:
-            await node.member.confirm()
-        except (Unavailable, Unsure) as error:
+            await node.member.confirm_term()
+        except (UnavailableError, UnknownOutcomeError) as error:
             log.debug("term in force: %r", error)
-        if home is node.home and node.member.joined:
-            home.judge_leases(node.authority.sure_at())
+        if home is node.shard_leader and node.member.joined:
+            home.judge_leases(node.authority.term_confirmed_at())
         self._is_judging = False
 
     def _check_relieved_controllers(self):
         """Records which relieved controllers are known, by their heartbeats, to have seen that they are."""
         node = self._node
-        for label in node.home.reconciliation.may_not_know():
+        for label in node.shard_leader.reconciliation.unaware_controllers():
             link = node.peers.links.get(label)
             if link is not None and link.incarnation == node.member.term.incarnation(label):
-                node.home.reconciliation.hear_term(label, link.term)
+                node.shard_leader.reconciliation.on_peer_term(label, link.term)
 
     def _restore_if_reachable(self):
         """Probes workers if this controller is relieved of its machines."""
@@ -122,7 +127,7 @@
         node = self._node
         self.used = node.state.requests.used(), node.state.writes.used()
         term, links = node.member.term, node.peers.links
-        node.state.share(
+        node.state.divide_limits(
             [
                 links[label].used if label in links else (None if label in term.members else (0.0, 0.0))
                 for label in (member.label for member in node.settings.members)
@@ -131,22 +136,22 @@
 
     def _drop_stale_marks(self):
         """Deletes cancellation marks whose writers ended before they could delete them."""
-        stale = self._node.member.stale_marks(KEPT * self._cancel_s)
+        stale = self._node.member.stale_cancellation_marks(CANCELLATION_KEPT_FACTOR * self._cancel_s)
         for mark in stale[:MAX_MARKS_PER_RUN]:
-            self._node.book.recorder.drop(mark)
+            self._node.job_store.recorder.schedule_delete(mark)
 
     def _scan_as_quota_leader(self):
         """Scans for jobs of which a quota leader was not told, since that frame may have been lost."""
         node = self._node
-        if node.book.quota.has_limits and node.label in node.member.term.wardens:
-            node.takeover.scan()
+        if node.job_store.quota.has_limits and node.label in node.member.term.quota_leaders:
+            node.failover.scan()
 
     # Frames to the other members
 
     def _send_demand(self):
         node = self._node
         node.dispatcher.refresh()
-        self._send_to_members(frames.HomeNews(node.home.news()))
+        self._send_to_members(frames.MachineCounts(node.shard_leader.machine_counts()))
 
     def _send_summary(self):
         self._send_to_members(self._node.summary_part())
@@ -162,10 +167,10 @@
         log.info(
             "jobs=%d machines=%d clean=%s cpus=%.0f running=%.0f preparing=%.0f parked=%.0f "
             "granted=%.0f waiting=%d %s",
-            len(node.book.jobs),
-            len(node.home.machines),
-            node.home.reconciliation.clean(),
-            *node.home.usage(),
-            sum(len(job.free) for job in node.book.jobs.values()),
+            len(node.job_store.jobs),
+            len(node.shard_leader.machines),
+            node.shard_leader.reconciliation.is_reconciled(),
+            *node.shard_leader.usage(),
+            sum(len(job.unstarted) for job in node.job_store.jobs.values()),
             node.counters.line(),
         )
--- a/roadhead/state/client.py
+++ b/roadhead/state/client.py
@@ -1,16 +1,16 @@
 """The client of the state service: reads, transactions, leases and watches, within its rate limits.
 
-Errors tell what became of a request. `Unavailable`: it was not executed. `Unsure`: there was no answer, so it
-may have been executed or may still be. `Conflict`: a condition of a transaction failed. Nothing is retried
-here, since only the callers know whether that is safe.
+Errors tell what became of a request. `UnavailableError`: it was not executed. `UnknownOutcomeError`: there
+was no answer, so it may have been executed or may still be. `ConflictError`: a condition of a transaction
+failed. Nothing is retried here, since only the callers know whether that is safe.
 """
 
 import logging
 
 from roadhead.runtime.rate import Bucket
-from roadhead.state.latency import AnswerTimes
+from roadhead.state.latency import ResponseTimeEstimator
 from roadhead.wire import messages
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 log = logging.getLogger("roadhead.state")
 
@@ -22,19 +22,19 @@
 IDLE_PART = 0.2  # of its equal part is left to a controller that uses less than that
 
 
-class Unavailable(Exception):
+class UnavailableError(Exception):
     """The request was not executed."""
 
 
-class TooLarge(Unavailable):
+class RequestTooLargeError(UnavailableError):
     """A value or a transaction exceeds the service's size limits, so a retry would be refused as well."""
 
 
-class Unsure(Exception):
+class UnknownOutcomeError(Exception):
     """There was no usable answer: the request may have been executed, or may still be."""
 
 
-class Conflict(Exception):
+class ConflictError(Exception):
     """Conditions of a transaction don't hold; `failed`: their keys."""
 
     def __init__(self, failed):
@@ -42,11 +42,11 @@
         self.failed = failed
 
 
-class TooOld(Exception):
+class CompactedError(Exception):
     """The changes asked for were compacted away; the caller must list the keys anew."""
 
 
-class LeaseGone(Exception):
+class LeaseExpiredError(Exception):
     """The lease has expired."""
 
 
@@ -70,7 +70,7 @@
         rps, writes = self.limits.rps / nodes, self.limits.write_rps / nodes
         self.requests = Bucket(loop, USABLE_SHARE * rps, rps)
         self.writes = Bucket(loop, USABLE_SHARE * writes, writes)
-        self.answers = AnswerTimes(ANSWER_TIMEOUT_S)  # of transactions
+        self.answers = ResponseTimeEstimator(ANSWER_TIMEOUT_S)  # of transactions
         self.ok_at = -1e9  # when the last request that got a proper answer was sent
         self._failing_since = None  # when the first request that failed since then was sent
         self._failure_count = 0  # requests that failed since then
@@ -84,7 +84,7 @@
         """
         return max(1, min(int(self.limits.write_rps / self._node_count), int(self.limits.txn_ops)))
 
-    def share(self, others):
+    def divide_limits(self, others):
         """Sets this controller's part of the rate limits: an equal part, or what the others leave if more.
 
         `others`: for each other controller its (requests, writes) per second, or None for one whose use is
@@ -103,7 +103,7 @@
             if abs(rate - bucket.rate) > 0.05 * bucket.rate:
                 bucket.retune(rate)
 
-    def lower(self):
+    def apply_lower_limits(self):
         """Applies the lower limits, which the settings announce under `next`; they are never raised again."""
         if self.limits == self._lower_limits:
             return
@@ -119,7 +119,7 @@
         if self._on_lowered is not None:
             self._on_lowered()
 
-    def failing_s(self):
+    def failing_for_s(self):
         """Returns for how many seconds the service has failed to answer; 0 while it answers.
 
         The member's duties go on sending requests, so this returns to 0 soon after the service recovers.
@@ -142,24 +142,24 @@
         sent_at = self._loop.now()
         try:
             status, data, _headers = await self._http.request(method, target, body, timeout)
-        except NoAnswer as error:
+        except NoResponseError as error:
             self._count_failure(sent_at)
             if error.sent:
-                raise Unsure(str(error)) from None
-            raise Unavailable(str(error)) from None
+                raise UnknownOutcomeError(str(error)) from None
+            raise UnavailableError(str(error)) from None
         if status == 429:
             self.requests.empty()
             if target == "/multi":
                 self.writes.empty()
-            self.lower()
-            raise Unavailable("429")
+            self.apply_lower_limits()
+            raise UnavailableError("429")
         if status >= 500:
             self._count_failure(sent_at)
-            raise Unavailable(str(status))
+            raise UnavailableError(str(status))
         try:
             value = messages.decode_map(data) if data else {}
-        except messages.Invalid as error:
-            raise Unsure(str(error)) from None
+        except messages.InvalidMessageError as error:
+            raise UnknownOutcomeError(str(error)) from None
         self.ok_at = max(self.ok_at, sent_at)
         if self._failure_count and sent_at >= self._failing_since:
             self._failure_count = 0
@@ -171,7 +171,7 @@
         if status == 404:
             return None, 0
         if status != 200:
-            raise Unavailable(f"get {key}: {status}")
+            raise UnavailableError(f"get {key}: {status}")
         return answer["data"], answer["stamp"]
 
     async def page(self, prefix, after="", limit=1000):
@@ -179,7 +179,7 @@
         target = f"/store?under={prefix}&limit={limit}" + (f"&after={after}" if after else "")
         status, answer = await self._call("GET", target, timeout=6.0)
         if status != 200:
-            raise Unavailable(f"list {prefix}: {status}")
+            raise UnavailableError(f"list {prefix}: {status}")
         items = [(item["k"], item["data"], item["stamp"]) for item in answer["items"]]
         return items, bool(answer.get("hasNext") and items), answer["epoch"]
 
@@ -197,7 +197,7 @@
         `conditions`: (key, stamp) pairs that must all hold; `patient`: waits for the longest time for the
         answer, as the caller won't look up the outcome if there is none.
 
-        Raises Conflict, LeaseGone, TooLarge, Unavailable or Unsure.
+        Raises Conflict, LeaseExpiredError, RequestTooLargeError, Unavailable or Unsure.
         """
         await self.writes.take(len(writes))
         return await self.send(conditions, writes, patient)
@@ -209,22 +209,22 @@
         if status == 200:
             return answer["epoch"]
         if status == 409:
-            raise Conflict(answer.get("failed", []))
+            raise ConflictError(answer.get("failed", []))
         if status == 400 and answer.get("error") == "no such lease":
-            raise LeaseGone
+            raise LeaseExpiredError
         log.error("the state service refused a transaction: %s %s", status, answer)
         if status == 400:
-            raise TooLarge(str(answer.get("error", "")))
-        raise Unavailable(f"multi: {status}")
+            raise RequestTooLargeError(str(answer.get("error", "")))
+        raise UnavailableError(f"multi: {status}")
 
-    async def unchanged(self, conditions):
+    async def check_conditions(self, conditions):
         """Checks that every (key, stamp) still holds. Raises Conflict with the keys that changed."""
         timeout_s = min(COMPARE_TIMEOUT_S, self.answers.timeout_s)
         status, answer = await self._send_transaction(conditions, [], timeout_s)
         if status == 409:
-            raise Conflict(answer.get("failed", []))
+            raise ConflictError(answer.get("failed", []))
         if status != 200:
-            raise Unavailable(f"multi: {status}")
+            raise UnavailableError(f"multi: {status}")
 
     async def _send_transaction(self, conditions, writes, timeout_s):
         """Sends a transaction, measures its response time, and returns (status, answer)."""
@@ -234,11 +234,11 @@
         deadline = sent_at + timeout_s
         try:
             answered = await self._send("POST", "/multi", messages.encode(body), timeout_s)
-        except Unsure:
+        except UnknownOutcomeError:
             if self._loop.now() >= deadline:  # else the connection broke, which is no timeout
-                self.answers.lost()
+                self.answers.record_timeout()
             raise
-        self.answers.seen(self._loop.now() - sent_at)
+        self.answers.record_answer(self._loop.now() - sent_at)
         return answered
 
     async def lease(self, life_s):
@@ -246,26 +246,26 @@
         body = messages.encode({"lifeMs": int(life_s * 1000)})
         status, answer = await self._call("POST", "/leases", body)
         if status != 200:
-            raise Unavailable(f"lease: {status}")
+            raise UnavailableError(f"lease: {status}")
         return answer["permit"]
 
-    async def touch(self, permit):
-        """Renews a lease. Raises LeaseGone if it has expired."""
+    async def renew_lease(self, permit):
+        """Renews a lease. Raises LeaseExpiredError if it has expired."""
         status, _answer = await self._call("POST", f"/leases/{permit}/touch", timeout=1.5)
         if status == 404:
-            raise LeaseGone
+            raise LeaseExpiredError
         if status != 200:
-            raise Unavailable(f"touch: {status}")
+            raise UnavailableError(f"touch: {status}")
 
     async def changes(self, prefix, after, wait_s):
         """Waits up to `wait_s` for changes under `prefix` after the revision `after`.
 
-        Returns (events, revision). Raises TooOld if changes after that revision are no longer kept.
+        Returns (events, revision). Raises CompactedError if changes after that revision are no longer kept.
         """
         target = f"/changes?under={prefix}&after={after}&waitMs={int(wait_s * 1000)}"
         status, answer = await self._call("GET", target, timeout=wait_s + 2.0)
         if status == 410:
-            raise TooOld
+            raise CompactedError
         if status != 200:
-            raise Unavailable(f"changes: {status}")
+            raise UnavailableError(f"changes: {status}")
         return answer["log"], answer["epoch"]
--- a/roadhead/state/latency.py
+++ b/roadhead/state/latency.py
@@ -15,7 +15,7 @@
 DEVIATION_FACTOR = 4
 
 
-class AnswerTimes:
+class ResponseTimeEstimator:
     """Round-trip times of one kind of request, and the timeout derived from them, at most `most_s`."""
 
     def __init__(self, most_s):
@@ -25,7 +25,7 @@
         self._deviation_s = 0.0
         self._backoff = 1
 
-    def seen(self, seconds):
+    def record_answer(self, seconds):
         """Records an answer that arrived `seconds` after its request was sent."""
         self._backoff = 1
         if self._mean_s is None:
@@ -34,7 +34,7 @@
         self._deviation_s += DEVIATION_GAIN * (abs(seconds - self._mean_s) - self._deviation_s)
         self._mean_s += MEAN_GAIN * (seconds - self._mean_s)
 
-    def lost(self):
+    def record_timeout(self):
         """Records that no answer arrived within `timeout_s`."""
         if self.timeout_s < self._max_timeout_s:
             self._backoff *= 2
--- a/roadhead/state/reader.py
+++ b/roadhead/state/record_reader.py
@@ -8,7 +8,7 @@
 from itertools import islice
 
 from roadhead.runtime.loop import Future, Timeout
-from roadhead.state.client import Conflict, Unavailable, Unsure
+from roadhead.state.client import ConflictError, UnavailableError, UnknownOutcomeError
 
 MAX_BATCHES = 2  # batches served at the same time
 PARALLEL_READS = 4  # records of a batch that are read at the same time
@@ -23,7 +23,7 @@
 )
 
 
-class Reader:
+class RecordReader:
     """A cache of records with many readers.
 
     `places`: the prefixes under which a record may be stored, in the order in which it moves through them;
@@ -46,7 +46,7 @@
         self._existing = {}  # names of records that were read or created lately: an ordered set
         self._active_batches = 0
 
-    def exists(self, name):
+    def note_existing(self, name):
         """Notes that a record of this name exists. Reads sent earlier and answered later may not find it."""
         self._existing.pop(name, None)
         self._existing[name] = True
@@ -69,9 +69,9 @@
 
     async def _ask(self, name):
         if len(self._waiting) >= 4 * self._max_conditions and name not in self._waiting:
-            raise Unavailable("busy")
-        if self._active_batches and self._state.failing_s() > FAILING_AFTER * self._patience_s:
-            raise Unavailable("no answers from the state service")
+            raise UnavailableError("busy")
+        if self._active_batches and self._state.failing_for_s() > FAILING_AFTER * self._patience_s:
+            raise UnavailableError("no answers from the state service")
         future = Future()
         self._waiting.setdefault(name, []).append(future)
         if self._active_batches < MAX_BATCHES:
@@ -131,14 +131,14 @@
         for _ in range(MAX_COMPARE_ROUNDS):
             sent_at = self._loop.now()
             try:
-                await self._state.unchanged(
+                await self._state.check_conditions(
                     list(
                         dict.fromkeys(
                             condition for _, conditions in known.values() for condition in conditions
                         )
                     )
                 )
-            except Conflict as conflict:
+            except ConflictError as conflict:
                 failed = set(conflict.failed)
                 for name, (_, conditions) in list(known.items()):
                     if not failed.isdisjoint(key for key, _stamp in conditions):
@@ -146,8 +146,8 @@
                 if not known or not conflict.failed:
                     return
                 continue
-            except (Unavailable, Unsure) as error:
-                is_unsure = isinstance(error, Unsure)
+            except (UnavailableError, UnknownOutcomeError) as error:
+                is_unsure = isinstance(error, UnknownOutcomeError)
                 if is_unsure and self._loop.now() - began_at < self._patience_s * RETRY_WITHIN:
                     continue
                 for name in known:
@@ -165,14 +165,14 @@
                 record, stamp = await self._state.get(prefix + name)
                 conditions.append((prefix + name, stamp))
                 if record is not None:
-                    self.exists(name)
+                    self.note_existing(name)
                     del conditions[:-1]
                     record, further_conditions = await self._derive(
                         self._shorten(await self._complete(name, record))
                     )
                     conditions += further_conditions
                     break
-        except (Unavailable, Unsure) as error:
+        except (UnavailableError, UnknownOutcomeError) as error:
             self._fail(futures, error)
             return
         self._known.pop(name, None)
@@ -184,7 +184,7 @@
     def _resolve(self, futures, record, sent_at):
         if self._loop.now() - sent_at > self._patience_s:
             # The answer lay in the socket while this process was stalled, and may be out of date.
-            self._fail(futures, Unavailable("read too long ago"))
+            self._fail(futures, UnavailableError("read too long ago"))
             return
         for future in futures:
             future.set(record)
--- a/roadhead/telemetry.py
+++ b/roadhead/telemetry.py
@@ -29,7 +29,7 @@
     logging.raiseExceptions = False
 
 
-class Troubles:
+class TroubleLog:
     """What went wrong since this process started, for the summary.
 
     Its size is bounded: of each kind the count, the longest duration and the newest few times are kept, and
@@ -54,7 +54,7 @@
         entry[2].append(self._time_of_day() - seconds)
         del entry[2][: -self.KEPT]
 
-    def holds(self, text, is_active):
+    def set_active(self, text, is_active):
         """Records whether a trouble is present now; it is counted, with its duration, when it ends."""
         if is_active:
             self._active_since.setdefault(text, self._now())
