--- a/roadhead/frame_router.py
+++ b/roadhead/frame_router.py
@@ -1,4 +1,4 @@
-"""What comes from other controllers: which part of this one it concerns, and whether it may speak."""
+"""Routes frames from other controllers to the component concerned, if the term entitles their sender."""
 
 import logging
 
@@ -8,8 +8,11 @@
 
 
 class FrameRouter:
-    """`on_cancelled(jobs)` hears of cancellations, `on_lowered()` of lower limits of the state service,
-    `send(label, frame)` answers."""
+    """Routes frames by their type.
+
+    `on_cancelled(jobs)` is called with jobs cancelled elsewhere, `on_lowered()` when another controller found
+    the state service's limits lowered; `send(label, frame)` sends an answer.
+    """
 
     def __init__(self, member, send, on_cancelled, on_lowered):
         self._member = member
@@ -18,8 +21,11 @@
         self._on_lowered = on_lowered
         self._handlers = {}
 
-    def begin(self, home, job_store, dispatcher, fleet, failover, summary, more):
-        """The parts of a new incarnation; `more`: handlers of further kinds of frames."""
+    def begin(self, home, job_store, dispatcher, fleet, failover, summary, further_handlers):
+        """Takes the components of a new incarnation; `further_handlers`: {frame class: handler} of the desk.
+
+        A handler is called with the sender's label, its incarnation and the frame.
+        """
         member = self._member
 
         def on_demand(label, _incarnation, frame):
@@ -71,14 +77,16 @@
             ),
             frames.StateLimitsLowered: lambda _label, _incarnation, _frame: self._on_lowered(),
             frames.SummaryPart: lambda label, _incarnation, frame: summary.on_news(label, frame),
-            **more,
+            **further_handlers,
         }
 
     def send_term(self, label):
+        """Sends the term known here to another controller."""
         member = self._member
         self._send(label, frames.TermUpdate(member.revision, messages.encode(member.term.to_record())))
 
     def on_frame(self, label, incarnation, frame):
+        """Handles a frame of the controller `label`; `incarnation` is 0 if that is not a member."""
         kind = type(frame)
         member = self._member
         if kind is frames.TermUpdate:
@@ -86,7 +94,7 @@
                 try:
                     member.adopt(messages.decode_map(frame.record), frame.revision)
                 except (messages.InvalidMessageError, KeyError, TypeError) as error:
-                    log.error("term from %s: %r", label, error)
+                    log.error("invalid term record from controller %s: %r", label, error)
             return
         if not member.joined:
             return
@@ -98,7 +106,7 @@
                 self.send_term(label)
             return
         if not member.term.serves(label, incarnation):
-            return  # an incarnation that the term does not name has no say
+            return  # the term doesn't name this incarnation, so its frames are ignored
         handler = self._handlers.get(kind)
         if handler is not None:
             handler(label, incarnation, frame)
--- a/tests/test_limited_demand.py
+++ b/tests/test_limited_demand.py
@@ -173,8 +173,8 @@
     take = SharedHeadroom._take
 
     def alone(self, job, wanted):
-        self._left.clear()
-        self._levels.clear()
+        self._free_by_level.clear()
+        self._levels_by_team.clear()
         return take(self, job, wanted)
 
     patch.setattr(SharedHeadroom, "_take", alone)
@@ -182,7 +182,7 @@
 
 def any_room_counts(patch):
     """Room within a limit is rented for at its first sight, also between two tasks."""
-    patch.setattr(SustainedHeadroom, "_least", lambda self, label, cpus, now: cpus)
+    patch.setattr(SustainedHeadroom, "_lowest_in_window", lambda self, label, cpus, now: cpus)
 
 
 def boots_forgotten(patch):
