--- a/roadhead/wire/frames.py
+++ b/roadhead/wire/frames.py
@@ -1,30 +1,34 @@
-"""Frames between controllers, packed by hand with `struct`.
+"""Binary frames that controllers exchange, packed with `struct`.
 
-A frame is a length (of what follows it), a kind and its fields in order. Fields are
-declared by one letter each: s text, b bytes, q unsigned 64-bit, d double, ? flag,
-T list of texts, R list of rows of the kind named in the class.
+A frame is a 4-byte length (of everything after it), a 1-byte kind and the fields in their declared order; all
+integers are big-endian. The layout of a frame has one letter per field: `s` text, `b` bytes, `q` unsigned
+64-bit integer, `d` double, `?` boolean, `T` list of texts, `R` list of rows. The class attribute `row` is the
+layout of one row.
 """
 
 import struct
 
-MAX_FRAME = 4 * 1024 * 1024
-HEAD = struct.Struct("!IB")
+MAX_FRAME_BYTES = 4 * 1024 * 1024
+HEADER = struct.Struct("!IB")
 U16 = struct.Struct("!H")
 U32 = struct.Struct("!I")
-FIXED = {"q": "Q", "d": "d", "?": "?"}
+FIXED_SIZE_FORMATS = {"q": "Q", "d": "d", "?": "?"}
 
 
 class BadFrame(Exception):
-    """Garbage, truncated or oversized."""
+    """The received bytes are not a valid frame: garbage, truncated or oversized."""
 
 
-def _steps(layout):
-    """The layout as runs: (a struct, number of fields) for fixed fields side by side, or (letter, 1)."""
+def _compile_layout(layout):
+    """Compiles a layout into steps.
+
+    A step is (struct, field count) for adjacent fixed-size fields, or (letter, 1) for a variable-size field.
+    """
     steps = []
     run = ""
     for letter in layout + " ":
-        if letter in FIXED:
-            run += FIXED[letter]
+        if letter in FIXED_SIZE_FORMATS:
+            run += FIXED_SIZE_FORMATS[letter]
             continue
         if run:
             steps.append((struct.Struct("!" + run), len(run)))
@@ -54,14 +58,14 @@
             out += step.pack(*values[at : at + fields])
         at += fields
     if at != len(values):
-        raise ValueError("too many fields")
+        raise ValueError(f"frame takes {at} fields, got {len(values)}")
 
 
 def _unpack(steps, data, at):
     values = []
     for step, _fields in steps:
         if step == "s":
-            text, at = _text(data, at)
+            text, at = _unpack_text(data, at)
             values.append(text)
         elif step == "b":
             (size,) = U32.unpack_from(data, at)
@@ -75,7 +79,7 @@
             at += 4
             texts = []
             for _ in range(count):
-                text, at = _text(data, at)
+                text, at = _unpack_text(data, at)
                 texts.append(text)
             values.append(texts)
         else:
@@ -84,7 +88,7 @@
     return values, at
 
 
-def _text(data, at):
+def _unpack_text(data, at):
     (size,) = U16.unpack_from(data, at)
     at += 2
     if at + size > len(data):
@@ -93,7 +97,10 @@
 
 
 class Frame:
-    """One kind of frame. Subclasses give `kind`, `fields`, `layout` and perhaps `row`."""
+    """Base class of all frames.
+
+    Subclasses define `kind`, `fields`, `layout` and, if the layout has an `R`, `row`.
+    """
 
     kind = 0
     fields = ()
@@ -102,7 +109,11 @@
 
     def __init_subclass__(cls):
         before, rows, after = cls.layout.partition("R")
-        cls._before, cls._after, cls._row = _steps(before), _steps(after), _steps(cls.row)
+        cls._before, cls._after, cls._row = (
+            _compile_layout(before),
+            _compile_layout(after),
+            _compile_layout(cls.row),
+        )
         cls._rows_at = len(before) if rows else None
 
     def __init__(self, *values):
@@ -118,7 +129,7 @@
     __hash__ = None
 
     def encode(self):
-        """The bytes; made once, as a frame may go to several controllers."""
+        """Returns the encoded frame. The result is cached, as one frame may go to several controllers."""
         data = self.__dict__.get("encoded")
         if data is None:
             data = self.__dict__["encoded"] = self._encode()
@@ -126,7 +137,7 @@
 
     def _encode(self):
         values = [getattr(self, name) for name in self.fields]
-        out = bytearray(HEAD.size)
+        out = bytearray(HEADER.size)
         rows_at = self._rows_at
         if rows_at is None:
             _pack(self._before, values, out)
@@ -137,11 +148,15 @@
             for row in rows:
                 _pack(self._row, row, out)
             _pack(self._after, values[rows_at + 1 :], out)
-        HEAD.pack_into(out, 0, len(out) - 4, self.kind)
+        HEADER.pack_into(out, 0, len(out) - 4, self.kind)
         return bytes(out)
 
     @classmethod
     def parse(cls, data):
+        """Decodes the bytes that follow the frame header.
+
+        Raises BadFrame, or struct.error, UnicodeDecodeError or IndexError, which `Splitter` converts.
+        """
         values, at = _unpack(cls._before, data, 0)
         if cls._rows_at is not None:
             (count,) = U32.unpack_from(data, at)
@@ -154,37 +169,40 @@
             after, at = _unpack(cls._after, data, at)
             values += after
         if at != len(data):
-            raise BadFrame("trailing bytes")
+            raise BadFrame(f"{cls.__name__}: {len(data) - at} trailing bytes")
         return cls(*values)
 
 
 class Hello(Frame):
-    """First frame of a connection, from both sides."""
+    """First frame on a connection, sent by both sides: the sender's label and incarnation."""
 
     kind, layout = 1, "sq"
     fields = ("label", "incarnation")
 
 
 class Beat(Frame):
-    """Sign of life: the term served, whether the state service answers here, whether most
-    machines homed here have fallen silent (`deaf`), and what was used of the state service
-    lately, a second."""
+    """Heartbeat.
+
+    `term`: the term the sender serves; `state_ok`: whether the state service answers the sender; `deaf`:
+    whether most machines whose shards the sender leads have stopped reporting; `requests` and `writes`: the
+    sender's recent use of the state service, per second.
+    """
 
     kind, layout = 2, "q??dd"
     fields = ("term", "state_ok", "deaf", "requests", "writes")
 
 
 class TermNews(Frame):
-    """The term record (CBOR) with its revision."""
+    """Broadcasts the term record (CBOR) and its revision in the state service."""
 
     kind, layout = 3, "qb"
     fields = ("revision", "record")
 
 
 class Demand(Frame):
-    """A controller's idle-list length and what waits there: one row a shape, in queue order.
+    """A controller's free-machine list length and the resources its waiting tasks request, in queue order.
 
-    `images` are those that the most urgent of it need.
+    Each row stands for one resource shape. `images` are those that the most urgent waiting tasks need.
     """
 
     kind, layout = 4, "qRT"
@@ -194,9 +212,9 @@
 
 
 class Grant(Frame):
-    """Free room joins the receiver's idle list, or the room of a listed machine changed.
+    """Adds free capacity to the receiver's free-machine list, or updates the capacity of a machine on it.
 
-    `taken` counts the starts of this grant that the room already allows for.
+    `taken` counts the starts under this grant that the capacity already accounts for.
     """
 
     kind, layout = 5, "sqqsss?dddTd"
@@ -217,22 +235,25 @@
 
 
 class Return(Frame):
-    """The receiver of a grant hands it back."""
+    """The holder of a grant gives it back; `length` is the new length of its free-machine list."""
 
     kind, layout = 6, "sqq"
     fields = ("machine", "serial", "length")
 
 
 class Revoke(Frame):
-    """The home takes a grant back."""
+    """The machine's shard leader withdraws a grant."""
 
     kind, layout = 7, "sq"
     fields = ("machine", "serial")
 
 
 class Start(Frame):
-    """Start tasks of a job on granted room; `last`: the rest of the room is handed back. The grant says
-    whether they may start; `term` is read by nobody any more."""
+    """Starts tasks of a job on granted capacity.
+
+    `last` returns the rest of the grant. The grant decides whether the tasks may start; `term` is ignored by
+    receivers and stays for wire compatibility.
+    """
 
     kind, layout = 8, "qsqsRqdddsdd??"
     fields = (
@@ -255,14 +276,14 @@
 
 
 class Refused(Frame):
-    """The home did not take a start, and never will."""
+    """The shard leader rejected a start and will never carry it out."""
 
     kind, layout = 9, "ssqq"
     fields = ("machine", "job", "index", "attempt")
 
 
 class TaskStates(Frame):
-    """What a machine's newest report says of tasks that the receiver owns."""
+    """States of tasks that the receiver owns, from the machine's latest report."""
 
     kind, layout = 10, "ssR"
     fields = ("machine", "zone", "rows")
@@ -270,19 +291,21 @@
 
 
 class Free(Frame):
-    """An attempt is surely on no machine and can't come onto one any more."""
+    """An attempt is on no machine and can never be launched on one: its task may be started again."""
 
     kind, layout = 11, "ssqqs"
     fields = ("machine", "job", "index", "attempt", "cause")
 
 
 class Stop(Frame):
+    """The owner asks the shard leader to stop an attempt; `grace` is in seconds."""
+
     kind, layout = 12, "ssqqd"
     fields = ("machine", "job", "index", "attempt", "grace")
 
 
 class Forget(Frame):
-    """Attempts that have ended and are recorded, or that nobody needs."""
+    """Attempts that have ended and are recorded, or that no owner needs: machines may drop them."""
 
     kind, layout = 13, "R"
     fields = ("rows",)
@@ -290,7 +313,11 @@
 
 
 class Sync(Frame):
-    """An owner names jobs it owns and attempts it believes bound to machines homed at the receiver."""
+    """Asks a shard leader to reconcile an owner's jobs.
+
+    Lists the jobs that the sender owns, and the attempts that it believes are bound to machines led by the
+    receiver. `number` identifies the request in the `Synced` that answers it.
+    """
 
     kind, layout = 14, "qqTR"
     fields = ("term", "number", "jobs", "claims")
@@ -298,36 +325,38 @@
 
 
 class Synced(Frame):
-    """All that the home knows of the jobs of a sync has been sent, and it knows all there is."""
+    """Answers `Sync`: the shard leader knows every task of those jobs and has sent all of it."""
 
     kind, layout = 15, "qq"
     fields = ("term", "number")
 
 
 class CancelNews(Frame):
-    """These jobs are durably cancelled."""
+    """Broadcasts jobs whose cancellation is durable."""
 
     kind, layout = 16, "T"
     fields = ("jobs",)
 
 
 class JobFails(Frame):
-    """A job seems to fail wherever it runs: its failures tell nothing of a machine."""
+    """A job seems to fail on every machine: its failures must not count against the machines."""
 
     kind, layout = 20, "s"
     fields = ("job",)
 
 
 class Borrowed(Frame):
-    """What the sender's jobs hold beyond their teams' guarantees."""
+    """Resources that the sender's jobs hold beyond their teams' guarantees."""
 
     kind, layout = 21, "ddd"
     fields = ("cpus", "gpus", "memory")
 
 
 class Reclaim(Frame):
-    """Room is wanted back for work within a guarantee: rows of tasks for which borrowed work of
-    the receiver's shall stop."""
+    """Asks the receiver to preempt borrowed work, so that work within a guarantee can start.
+
+    Each row describes waiting tasks of one shape.
+    """
 
     kind, layout = 22, "R"
     fields = ("rows",)
@@ -335,7 +364,10 @@
 
 
 class Handover(Frame):
-    """Machines that the sender was home to and the receiver is, by the term; `draining`: to be given up."""
+    """Machines whose shard leadership moved from the sender to the receiver in the current term.
+
+    `draining` marks machines that are about to be released.
+    """
 
     kind, layout = 23, "R"
     fields = ("rows",)
@@ -343,7 +375,7 @@
 
 
 class HandoverJobs(Frame):
-    """Owners and needs of jobs with tasks on machines that follow in a `Handover`."""
+    """Owners and resource requests of jobs with tasks on the machines of the `Handover` that follows."""
 
     kind, layout = 24, "R"
     fields = ("rows",)
@@ -351,7 +383,10 @@
 
 
 class HomeNews(Frame):
-    """For the renter: machines homed at the sender, one row a machine type, zone and kind."""
+    """Capacity of the machines led by the sender, for the autoscaler.
+
+    There is one row per machine type, zone and spot flag.
+    """
 
     kind, layout = 17, "R"
     fields = ("rows",)
@@ -359,15 +394,18 @@
 
 
 class Orphan(Frame):
-    """A job was accepted that the receiver should own."""
+    """Names an accepted job that the receiver should take over."""
 
     kind, layout = 19, "s"
     fields = ("job",)
 
 
 class SummaryNews(Frame):
-    """The sender's part of the summary: rows of classes, machines failing, duties behind now, and
-    what went wrong since its start."""
+    """The sender's part of the cluster summary.
+
+    Holds a row per job class, the number of failing machines, the duties that are behind schedule now, and
+    the problems since the sender started.
+    """
 
     kind, layout = 18, "RqTT"
     fields = ("rows", "failing", "behind", "troubles")
@@ -375,8 +413,10 @@
 
 
 class JobsOver(Frame):
-    """Jobs that are over, by records that are durable, or that follow from such a record. Sent behind the
-    gate only."""
+    """Jobs that have ended, according to durable records or to what follows from one.
+
+    Sent only once all controllers support it (the format version barrier is open).
+    """
 
     kind, layout = 25, "R"
     fields = ("rows",)
@@ -384,8 +424,12 @@
 
 
 class Wishes(Frame):
-    """What waiting jobs want of those that they need: times of day by which they must be done, infinite
-    for none, and the last job of the pipeline, whose deadline that is. A hint. Sent behind the gate only."""
+    """What waiting jobs require of the jobs that they depend on. A hint: losing it costs only priority.
+
+    `wanted_by`, `due_by` and `last_by` are times of day, infinite for none; `end` is the last job of the
+    pipeline, whose deadline `last_by` is. Sent only once all controllers support it (the format version
+    barrier is open).
+    """
 
     kind, layout = 26, "R"
     fields = ("rows",)
@@ -393,7 +437,10 @@
 
 
 class StateLowered(Frame):
-    """The state service has the limits that it was to have later. Sent behind the gate only."""
+    """The lower limits announced for the state service are in force.
+
+    Sent only once all controllers support it (the format version barrier is open).
+    """
 
     kind, layout = 27, "?"
     fields = ("lowered",)
@@ -403,30 +450,31 @@
 
 
 class Splitter:
-    """Cuts a byte stream into frames."""
+    """Splits a byte stream into frames."""
 
     def __init__(self):
         self._buffer = bytearray()
 
     def feed(self, data):
+        """Adds received bytes."""
         self._buffer += data
 
     def frames(self):
-        """All whole frames so far. Raises BadFrame."""
+        """Removes and returns all complete frames. Raises BadFrame."""
         buffer = self._buffer
         at = 0
         found = []
-        while len(buffer) - at >= HEAD.size:
-            length, kind = HEAD.unpack_from(buffer, at)
-            if not 1 <= length <= MAX_FRAME:
-                raise BadFrame("length")
+        while len(buffer) - at >= HEADER.size:
+            length, kind = HEADER.unpack_from(buffer, at)
+            if not 1 <= length <= MAX_FRAME_BYTES:
+                raise BadFrame(f"frame length {length}, expected 1 to {MAX_FRAME_BYTES}")
             if len(buffer) - at < 4 + length:
                 break
             cls = KINDS.get(kind)
             if cls is None:
-                raise BadFrame("kind")
+                raise BadFrame(f"unknown frame kind {kind}")
             try:
-                found.append(cls.parse(memoryview(buffer)[at + HEAD.size : at + 4 + length].tobytes()))
+                found.append(cls.parse(memoryview(buffer)[at + HEADER.size : at + 4 + length].tobytes()))
             except (struct.error, UnicodeDecodeError, IndexError) as error:
                 raise BadFrame(str(error)) from None
             at += 4 + length
--- a/roadhead/wire/http.py
+++ b/roadhead/wire/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1: our own parser, a server side and a client side over streams."""
+"""HTTP/1.1 over byte streams: an incremental parser, a server side and a client."""
 
 import logging
 from functools import lru_cache
@@ -38,7 +38,7 @@
 
 
 class BadMessage(Exception):
-    """A message that breaks HTTP. `status` is what a server answers before it closes."""
+    """A message that violates HTTP. `status` is what a server answers before it closes the connection."""
 
     def __init__(self, status, text):
         super().__init__(text)
@@ -46,7 +46,10 @@
 
 
 class Message:
-    """A request (`method`, `target`) or a response (`status`)."""
+    """A request (`method` and `target` are set) or a response (`status` is set).
+
+    Names in `headers` are in lower case; `close` says whether the connection ends after this message.
+    """
 
     __slots__ = ("body", "close", "headers", "method", "status", "target")
 
@@ -60,7 +63,7 @@
 
 
 class Parser:
-    """Collects bytes and hands out whole messages."""
+    """Incremental parser: `feed` bytes, then take complete messages with `next`."""
 
     def __init__(self, response=False, max_body=MAX_BODY):
         self._buffer = bytearray()
@@ -71,18 +74,20 @@
 
     @property
     def empty(self):
+        """Whether no part of a message is buffered."""
         return not self._buffer and self._head is None
 
     def feed(self, data):
+        """Adds received bytes."""
         self._buffer += data
 
     def next(self):
-        """The next whole message, or None. Raises BadMessage."""
+        """Returns the next complete message, or None. Raises BadMessage."""
         if self._head is None:
             end = self._buffer.find(b"\r\n\r\n", 0, MAX_HEAD + 4)
             if end < 0:
                 if len(self._buffer) > MAX_HEAD:
-                    raise BadMessage(431, "head too large")
+                    raise BadMessage(431, f"message head exceeds {MAX_HEAD} bytes")
                 return None
             self._parse_head(bytes(self._buffer[:end]))
             del self._buffer[: end + 4]
@@ -98,66 +103,71 @@
         self._length = length
         if self._response:
             if not parts[0].startswith("HTTP/1.") or not parts[1].isdigit():
-                raise BadMessage(400, "bad status line")
+                raise BadMessage(400, "malformed status line")
             message = Message(None, None, int(parts[1]), headers, b"", close)
         else:
             if len(parts) != 3 or parts[2] not in ("HTTP/1.1", "HTTP/1.0"):
-                raise BadMessage(400, "bad request line")
+                raise BadMessage(400, "malformed request line")
             close = close or parts[2] == "HTTP/1.0"
             message = Message(parts[0], parts[1], None, headers, b"", close)
         if length > self._max_body:
-            raise BadMessage(413, "body too large")
+            raise BadMessage(413, f"body of {length} bytes exceeds {self._max_body}")
         self._head = message
 
 
 @lru_cache(maxsize=512)
 def parse_head(head):
-    """(words of the first line, headers, body length, whether to close) of a message's head.
+    """Parses the head of a message.
 
-    Kept for heads seen lately: workers send the same few with every report. The headers
-    are shared, so nobody may change them.
+    Returns (parts of the first line, headers, body length, whether to close). Results are cached, as workers
+    send the same few heads with every report; the headers are shared, so callers must not modify them. Raises
+    BadMessage.
     """
     try:
         first, *lines = head.decode("latin-1").split("\r\n")
     except ValueError:
-        raise BadMessage(400, "head not text") from None
+        raise BadMessage(400, "message head can't be decoded") from None
     parts = first.split(" ", 2)
     if len(parts) < 2:
-        raise BadMessage(400, "bad first line")
+        raise BadMessage(400, "malformed first line")
     headers = {}
     for line in lines:
         name, colon, value = line.partition(":")
         if not colon or not name or name != name.strip():
-            raise BadMessage(400, "bad header line")
+            raise BadMessage(400, "malformed header line")
         name = name.lower()
         if name == "content-length" and name in headers and headers[name] != value.strip():
-            raise BadMessage(400, "two lengths")
+            raise BadMessage(400, "conflicting Content-Length headers")
         headers[name] = value.strip()
     if "transfer-encoding" in headers:
-        raise BadMessage(400, "transfer encodings are not taken")
+        raise BadMessage(400, "Transfer-Encoding is not supported")
     length = headers.get("content-length", "0")
     if not (length.isascii() and length.isdigit()):
-        raise BadMessage(400, "bad length")
+        raise BadMessage(400, "Content-Length is not a number")
     close = "close" in headers.get("connection", "").lower()
-    # A number too long to be honest is larger than any body taken.
+    # A length of 12 digits or more is above any body limit; it isn't converted, however many digits it has.
     return parts, headers, int(length) if len(length) < 12 else 1 << 62, close
 
 
-def request_bytes(method, target, host, body=b"", headers=(), kind="application/cbor"):
+def request_bytes(method, target, host, body=b"", headers=(), media_type="application/cbor"):
+    """Returns an encoded request. `media_type` is that of the body."""
     head = f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n"
     for name, value in headers:
         head += f"{name}: {value}\r\n"
     if body:
-        head += f"Content-Type: {kind}\r\n"
+        head += f"Content-Type: {media_type}\r\n"
     if body or method != "GET":
         head += f"Content-Length: {len(body)}\r\n"
     return head.encode("latin-1") + b"\r\n" + body
 
 
-def response_bytes(status, body=b"", close=False, retry_after=None, kind="application/cbor", headers=()):
+def response_bytes(
+    status, body=b"", close=False, retry_after=None, media_type="application/cbor", headers=()
+):
+    """Returns an encoded response. `media_type` is that of the body; `retry_after` is in seconds."""
     head = (
         f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}\r\n"
-        f"Content-Type: {kind}\r\nContent-Length: {len(body)}\r\n"
+        f"Content-Type: {media_type}\r\nContent-Length: {len(body)}\r\n"
     )
     for name, value in headers:
         head += f"{name}: {value}\r\n"
@@ -168,50 +178,56 @@
     return head.encode("latin-1") + b"\r\n" + body
 
 
-async def serve(loop, stream, handle, patience):
-    """Serves one connection. `handle(request)` returns (status, body, retry_after), or these
-    and the body's media type and a list of further (name, value) headers.
+async def serve(loop, stream, handle, request_timeout_s):
+    """Serves requests on one connection until it closes.
 
-    A request begun but not whole after `patience` seconds is answered 408; an idle
-    connection may stay six times as long.
+    `handle(request)` returns (status, body, retry_after), optionally followed by the body's media type and a
+    list of extra (name, value) headers.
+
+    A request that has begun but is incomplete after `request_timeout_s` is answered 408; an idle connection
+    is closed after six times that.
     """
     parser = Parser()
-    idle_s = 6 * patience
-    idle_until = loop.now() + idle_s
-    timer = None
-
-    def expire():
-        """One timer a connection, set anew only when it fires: most requests come whole."""
-        nonlocal timer
-        left = idle_until - loop.now()
+    idle_s = 6 * request_timeout_s
+    idle_deadline = loop.now() + idle_s
+    idle_timer = None
+
+    def close_if_idle():
+        """Closes the connection once it is idle for too long.
+
+        There is one timer per connection, re-armed only when it fires: re-arming it for each request would
+        cost more: most requests arrive complete.
+        """
+        nonlocal idle_timer
+        left = idle_deadline - loop.now()
         if left > 0:
-            timer = loop.call_later(left, expire)
+            idle_timer = loop.call_later(left, close_if_idle)
         else:
             stream.close()
 
-    def late():
+    def answer_timeout():
         try:
             stream.write(response_bytes(408, close=True))
         except Closed:
             pass
         stream.close()
 
-    begun = None
+    request_timer = None
     try:
-        timer = loop.call_later(idle_s, expire)
+        idle_timer = loop.call_later(idle_s, close_if_idle)
         while not stream.closed:
             while (message := parser.next()) is None:
-                if begun is None and not parser.empty:
-                    begun = loop.call_later(patience, late)
+                if request_timer is None and not parser.empty:
+                    request_timer = loop.call_later(request_timeout_s, answer_timeout)
                 data = await stream.read()
                 if not data:
                     return
                 parser.feed(data)
-            if begun is not None:
-                begun.cancel()
-                begun = None
+            if request_timer is not None:
+                request_timer.cancel()
+                request_timer = None
             status, body, *more = await handle(message)
-            idle_until = loop.now() + idle_s
+            idle_deadline = loop.now() + idle_s
             stream.write(response_bytes(status, body, message.close, *more))
             if message.close:
                 return
@@ -224,16 +240,16 @@
     except (Closed, Cancelled):
         pass
     finally:
-        for pending in (timer, begun):
+        for pending in (idle_timer, request_timer):
             if pending is not None:
                 pending.cancel()
         stream.close()
 
 
 class NoAnswer(Exception):
-    """A request got no response; the other side may have executed it, or may still do so.
+    """A request got no response. The server may have executed it, or may still do so.
 
-    `sent` is False if no byte of it left, so that it can't have been executed.
+    `sent` is False if no byte of the request was sent, so that it can't have been executed.
     """
 
     def __init__(self, text, sent=True):
@@ -242,7 +258,7 @@
 
 
 class Client:
-    """Requests to one server over a few kept-open connections."""
+    """Sends requests to one server and keeps up to `max_idle` idle connections open for reuse."""
 
     def __init__(self, loop, net, address, max_idle=4, max_body=64 * 1024 * 1024):
         self._loop = loop
@@ -252,12 +268,15 @@
         self._max_idle = max_idle
         self._max_body = max_body
 
-    async def request(self, method, target, body=b"", timeout=4.0, headers=(), kind="application/cbor"):
-        """The response as (status, body, headers). Raises NoAnswer."""
+    async def request(self, method, target, body=b"", timeout=4.0, headers=(), media_type="application/cbor"):
+        """Returns the response as (status, body, headers). Raises NoAnswer.
+
+        `timeout` is in seconds and covers connecting; `media_type` is that of the body.
+        """
         loop = self._loop
         deadline = loop.now() + timeout
         stream = None
-        fresh = False
+        is_new_connection = False
         while self._idle:
             stream = self._idle.pop()
             if not stream.closed and not stream._eof:
@@ -265,7 +284,7 @@
             stream.close()
             stream = None
         if stream is None:
-            fresh = True
+            is_new_connection = True
             try:
                 stream = await self._net.connect(self.address, timeout)
             except (Closed, Timeout) as error:
@@ -273,12 +292,14 @@
         timer = loop.call_at(deadline, stream.close)
         keep = False
         try:
-            stream.write(request_bytes(method, target, self.address, body, headers, kind))
+            stream.write(request_bytes(method, target, self.address, body, headers, media_type))
             parser = Parser(response=True, max_body=self._max_body)
             while (message := parser.next()) is None:
                 data = await stream.read()
                 if not data:
-                    raise NoAnswer(f"{method} {target}: {'closed' if fresh else 'closed idle'}")
+                    raise NoAnswer(
+                        f"{method} {target}: {'closed' if is_new_connection else 'closed while idle'}"
+                    )
                 parser.feed(data)
             keep = not message.close and parser.empty
             return message.status, message.body, message.headers
@@ -294,7 +315,7 @@
                 stream.close()
 
     def close(self):
-        """Nothing is kept open any more, nor what requests under way still use."""
+        """Closes idle connections now, and those of requests in progress when they finish."""
         self._max_idle = 0
         for stream in self._idle:
             stream.close()
--- a/roadhead/wire/messages.py
+++ b/roadhead/wire/messages.py
@@ -1,4 +1,7 @@
-"""The messages of the HTTP interfaces: CBOR maps, as typed structs with our own field names."""
+"""Messages of the HTTP interfaces: CBOR maps as typed structs.
+
+Field names in Python differ from those on the wire; `rename` maps one to the other.
+"""
 
 import io
 import math
@@ -11,24 +14,25 @@
 JOB_ID = re.compile(r"req-[0-9]{1,30}\Z")
 URGENCIES = ("critical", "high", "standard", "low")
 MAX_TASKS = 100_000
-MAX_AMOUNT = float(2**63)
-MAX_COUNT = 2**64
-MAP_TYPE, INDEFINITE_MAP, BREAK = 5, 0xBF, 0xFF  # CBOR: major type, first byte, byte that ends it
+AMOUNT_LIMIT = float(2**63)
+COUNT_LIMIT = 2**64
+CBOR_MAP_TYPE, CBOR_INDEFINITE_MAP, CBOR_BREAK = 5, 0xBF, 0xFF  # major type, initial byte, end marker
 
 
 class Invalid(Exception):
-    """A body that is not what the protocol asks for."""
+    """A body or value that violates the protocol. The text is sent to the client."""
 
 
 def decode(body):
-    """Any CBOR value."""
+    """Decodes a CBOR value of any type. Raises Invalid."""
     try:
         return cbor2.loads(body)
-    except Exception as error:  # the decoder raises many kinds for garbage
+    except Exception as error:  # cbor2 raises exceptions of many types for malformed input
         raise Invalid(f"not CBOR: {error}") from None
 
 
 def decode_map(body):
+    """Decodes a CBOR map. Raises Invalid."""
     value = decode(body)
     if type(value) is not dict:
         raise Invalid("not a map")
@@ -36,10 +40,10 @@
 
 
 def decode_strict_map(body):
-    """A map that is all of the body and has each key once. Raises Invalid.
+    """Decodes a CBOR map with unique keys that spans the whole body. Raises Invalid.
 
-    The decoder lets the last of two equal keys win and leaves bytes behind the value unread; another
-    decoder may do otherwise, and controllers of different versions have to answer alike.
+    cbor2 keeps the last of two equal keys and ignores bytes after the value. Another decoder may behave
+    differently, and controllers of different versions must give the same answer.
     """
     value = decode_map(body)
     stream = io.BytesIO(body)
@@ -56,19 +60,23 @@
 
 
 def _read_pairs(decoder, stream):
-    """The number of pairs of the map that the stream begins with, which is read to its end."""
-    head = stream.read(1)[0]
-    if head == INDEFINITE_MAP:
+    """Reads the map at the start of the stream to its end; returns the number of its key-value pairs."""
+    initial_byte = stream.read(1)[0]
+    if initial_byte == CBOR_INDEFINITE_MAP:
         pairs = 0
-        while stream.getvalue()[stream.tell()] != BREAK:
+        while stream.getvalue()[stream.tell()] != CBOR_BREAK:
             decoder.decode(), decoder.decode()
             pairs += 1
         stream.read(1)
         return pairs
-    if head >> 5 != MAP_TYPE:
+    if initial_byte >> 5 != CBOR_MAP_TYPE:
         raise ValueError("a tagged map")
-    short = head & 0x1F
-    pairs = short if short < 24 else int.from_bytes(stream.read(1 << (short - 24)), "big")
+    additional_info = initial_byte & 0x1F
+    pairs = (
+        additional_info
+        if additional_info < 24
+        else int.from_bytes(stream.read(1 << (additional_info - 24)), "big")
+    )
     for _ in range(2 * pairs):
         decoder.decode()
     return pairs
@@ -77,19 +85,21 @@
 encode = cbor2.dumps
 
 
-def read(body, kind):
-    """The body as a struct of type `kind`."""
-    return parse(decode_map(body), kind)
+def read(body, struct_type):
+    """Decodes a body into a struct of type `struct_type`. Raises Invalid."""
+    return parse(decode_map(body), struct_type)
 
 
-def parse(value, kind):
+def parse(value, struct_type):
+    """Converts a decoded value into a struct of type `struct_type`. Raises Invalid."""
     try:
-        return msgspec.convert(value, kind)
+        return msgspec.convert(value, struct_type)
     except (msgspec.ValidationError, ValueError, TypeError, OverflowError) as error:
         raise Invalid(str(error)) from None
 
 
 def write(struct):
+    """Encodes a struct as CBOR."""
     return cbor2.dumps(msgspec.to_builtins(struct))
 
 
@@ -117,6 +127,11 @@
         "due_s": "dueS",
     },
 ):
+    """A job as submitted. Amounts are per task.
+
+    Durations are in seconds, `memory` and `image_gb` in gigabytes.
+    """
+
     id: str
     klass: str
     team: str
@@ -137,13 +152,13 @@
     types: list[str] | None = None
     zone: str | None = None
     due_s: float | None = None
-    upstream: list[str] | None = None  # jobs to be done before any task of this one starts
+    upstream: list[str] | None = None  # ids of jobs that must be done before any task of this one starts
 
     def check(self):
         """Raises Invalid for values that no job can have."""
         if not JOB_ID.match(self.id):
             raise Invalid("id")
-        # A group's tasks are of use only together: on their machines they wait for one another.
+        # The tasks of a group are gang-scheduled: those started first wait on their machines for the others.
         if self.kind not in ("batch", "daemon", "group"):
             raise Invalid("shape")
         if self.urgency not in URGENCIES:
@@ -161,7 +176,7 @@
             self.due_s or 0.0,
         )
         for amount in amounts:
-            if not (math.isfinite(amount) and 0 <= amount < MAX_AMOUNT):
+            if not (math.isfinite(amount) and 0 <= amount < AMOUNT_LIMIT):
                 raise Invalid("amount out of range")
         for text in (self.klass, self.team, self.image or "", self.zone or "", *(self.types or ())):
             if len(text) > 200:
@@ -172,6 +187,8 @@
 
 
 class TaskReport(Struct, rename={"task": "leg", "attempt": "try"}):
+    """State of one attempt of a task in a worker's report."""
+
     task: str
     attempt: int
     status: str
@@ -194,6 +211,11 @@
         "tasks": "legs",
     },
 ):
+    """A worker's report: its machine, its lease identity (session, sequence, fencing token) and its tasks.
+
+    `notice_s` is the time left until the cloud takes a spot machine back.
+    """
+
     machine: str
     address: str
     type: str
@@ -206,8 +228,9 @@
     notice_s: float | None = None
 
     def check(self):
+        """Raises Invalid for numbers that don't fit an unsigned 64-bit integer."""
         for count in (self.session, self.sequence, self.token):
-            if not 0 <= count < MAX_COUNT:
+            if not 0 <= count < COUNT_LIMIT:
                 raise Invalid("count out of range")
 
 
@@ -223,6 +246,8 @@
         "zones": "paddocks",
     },
 ):
+    """A machine type offered by the cloud: its resources, price and boot time."""
+
     name: str
     cpus: float
     memory: float
@@ -236,6 +261,8 @@
 
 
 class Catalogue(Struct, rename={"types": "rigs"}):
+    """The cloud's catalogue of machine types."""
+
     types: list[MachineType]
 
 
@@ -249,6 +276,8 @@
         "age_s": "ageS",
     },
 ):
+    """A machine in the cloud's list."""
+
     id: str
     address: str
     type: str
@@ -259,51 +288,63 @@
 
 
 class MachineList(Struct, rename={"machines": "drovers", "more": "hasNext"}):
+    """One page of the cloud's list of machines; `more` says whether another follows."""
+
     machines: list[Listed]
     more: bool = False
 
 
 class Rented(Struct, rename={"machines": "drovers"}):
+    """Ids of the machines that a rental request created."""
+
     machines: list[str] = field(default_factory=list)
 
 
 def task_name(job, index):
+    """Returns the wire name of a task."""
     return f"{job}/{index}"
 
 
 def split_task(name):
-    """(job id, index) of a task's name; Invalid if it has another form."""
+    """Returns (job id, index) from a task's name. Raises Invalid for any other form."""
     job, slash, index = name.rpartition("/")
     if not slash or not index.isdigit() or len(index) > 9:
-        raise Invalid("task name")
+        raise Invalid(f"task name {name[:60]!r} is not JOB/INDEX")
     return job, int(index)
 
 
 def launch(job, index, attempt):
+    """Returns the command that launches an attempt."""
     return {"verb": "launch", "leg": task_name(job, index), "try": attempt}
 
 
 def stop(job, index, attempt, grace):
+    """Returns the command that stops an attempt, with `grace` seconds to save its state."""
     return {"verb": "stop", "leg": task_name(job, index), "try": attempt, "letgoS": grace}
 
 
 def forget(job, index, attempt):
+    """Returns the command that makes a worker drop an ended attempt from its reports."""
     return {"verb": "forget", "leg": task_name(job, index), "try": attempt}
 
 
 def commands(token, session, orders):
+    """Encodes commands pushed to a worker, with the fencing token and the session they are valid for."""
     return cbor2.dumps({"brand": token, "stint": session, "orders": orders})
 
 
 def report_answer(token, orders):
+    """Encodes the answer to a report: the fencing token that renews the lease, and commands."""
     return cbor2.dumps({"brand": token, "orders": orders})
 
 
 def redirect(label):
+    """Encodes a redirection to the controller `label`, or an empty one if no controller is known."""
     return cbor2.dumps({"boss": label} if label else {})
 
 
 def job_status(job, status, done=None, running=None, waits_for=()):
+    """Encodes a job's status; `waits_for` lists the upstream jobs that it still waits for."""
     answer = {"id": job, "status": status}
     if waits_for:
         answer["waitsFor"] = list(waits_for)
@@ -314,4 +355,5 @@
 
 
 def error(text):
+    """Encodes an error answer."""
     return cbor2.dumps({"error": text})
