--- a/roadhead/api/__init__.py
+++ b/roadhead/api/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP interface to users and workers."""
+"""The HTTP interface to users, workers and operators."""
--- a/roadhead/api/answers.py
+++ b/roadhead/api/answers.py
@@ -1,4 +1,4 @@
-"""Answers to HTTP requests, and the named causes for which one is refused for the moment."""
+"""Answers to HTTP requests, and the causes for which a request is answered 503."""
 
 import enum
 from typing import NamedTuple
@@ -7,12 +7,12 @@
 from roadhead.state.client import Conflict, Unavailable, Unsure
 from roadhead.wire import messages
 
-UNAVAILABLE = 503  # HTTP status: not known for sure now, or no authority
-RETRY_S = 1  # users wait that long at the least before they ask again
+UNAVAILABLE = 503  # HTTP status: the answer is uncertain, or this controller has no authority to give it
+RETRY_S = 1  # default `Retry-After`
 
 
 class Answer(NamedTuple):
-    """The response to a request: HTTP status, CBOR body, value of `Retry-After` or None."""
+    """The response to a request: HTTP status, CBOR body, and seconds for `Retry-After` or None."""
 
     status: int
     body: bytes = b""
@@ -26,7 +26,7 @@
 
 
 class Question(enum.Enum):
-    """What a user asks for; the value names it in counters."""
+    """Kinds of user requests. The value is part of counter names."""
 
     SUBMISSION = "submission"
     POLL = "poll"
@@ -34,8 +34,10 @@
 
 
 class Cause(enum.Enum):
-    """Why a request is answered 503; the value names it in counters. docs/operations.md says which argument
-    needs each of them."""
+    """Why a request is answered 503. The value is part of counter names.
+
+    docs/operations.md says which safety argument requires each cause.
+    """
 
     NEWER_FORMAT = "newer_format"
     NOT_A_MEMBER = "not_a_member"
@@ -75,11 +77,14 @@
     Cause.READ_STALE: "what was read is too old",
     Cause.CONFLICTS: "the job's record changes all the time",
 }
-READ_ERRORS = {"busy": Cause.READS_CROWDED, "read too long ago": Cause.READ_STALE}
+READ_ERROR_CAUSES = {"busy": Cause.READS_CROWDED, "read too long ago": Cause.READ_STALE}
 
 
 class RefusedError(Exception):
-    """The request can't be answered for sure now. `retry_after`: seconds after which to ask again."""
+    """The request can't be answered with certainty now: 503.
+
+    `retry_after` is the number of seconds after which the user should ask again.
+    """
 
     def __init__(self, cause, retry_after=RETRY_S):
         super().__init__(cause.value)
@@ -87,12 +92,12 @@
         self.retry_after = retry_after
 
     def answer(self):
-        """What the user is told."""
+        """Returns the Answer for the user."""
         return Answer(UNAVAILABLE, messages.error(TEXTS[self.cause]), self.retry_after)
 
 
 def refusal_of(error):
-    """The RefusedError for what reads and writes raise when nothing is known for sure (safety 5)."""
+    """Returns the RefusedError for an exception of UNCERTAIN_ERRORS (docs/design.md, safety rule 5)."""
     if isinstance(error, RefusedError):
         return error
     if isinstance(error, Timeout):
@@ -101,19 +106,19 @@
         return RefusedError(Cause.STATE_UNSURE)
     if isinstance(error, Conflict):
         return RefusedError(Cause.CONFLICTS)
-    return RefusedError(READ_ERRORS.get(str(error), Cause.STATE_UNAVAILABLE))
+    return RefusedError(READ_ERROR_CAUSES.get(str(error), Cause.STATE_UNAVAILABLE))
 
 
-UNCERTAIN = (RefusedError, Unavailable, Unsure, Conflict, Timeout)
+UNCERTAIN_ERRORS = (RefusedError, Unavailable, Unsure, Conflict, Timeout)
 
 
 def counter_of(question, cause):
-    """Name of the counter of requests refused for that cause."""
+    """Returns the name of the counter for requests of a kind that are refused for `cause`."""
     return f"refused_{question.value}_{cause.value}"
 
 
 def refusal_events():
-    """{counter's name: its text in the summary} for all questions and causes."""
+    """Returns {counter name: text in the summary} for all kinds of requests and causes."""
     return {
         counter_of(question, cause): f"{question.value}s answered 503: {TEXTS[cause]}"
         for question in Question
--- a/roadhead/api/cancellation_writer.py
+++ b/roadhead/api/cancellation_writer.py
@@ -1,4 +1,4 @@
-"""Writes of cancellations: those that wait for the write rate go together, and leave room for creations."""
+"""Writes cancellations to the state service in batches that leave write rate for submissions."""
 
 from itertools import islice
 from typing import NamedTuple
@@ -9,95 +9,103 @@
 from roadhead.runtime.loop import Future
 from roadhead.state.client import Conflict, Unavailable, Unsure
 
-CANCEL = "c/x/"
-WRITES_EACH = 2  # the record and the mark; the key that says that some job was cancelled is shared
-LEAST_S = 0.001  # it is not worth waiting for less
-AMPLE = 0.9  # of the burst of writes, which is not always quite reached
+MARK_PREFIX = "c/x/"
+WRITES_PER_JOB = 2  # the final record and the cancellation mark; all jobs share the write to CANCELS
+MIN_WAIT_S = 0.001  # shorter waits aren't worth a timer
+FULL_BURST_FRACTION = 0.9  # fraction of the write burst; the bucket doesn't always fill up completely
 
 
 class Outcome(NamedTuple):
-    """A job's record as it stands, None if there is none; `revision` if it was made final here, else 0."""
+    """The job's record after the cancellation, or None if the job doesn't exist.
+
+    `revision` is that of the write if this controller made the record final, else 0.
+    """
 
     record: dict | None
     revision: int = 0
 
 
 class CancellationWriter:
-    """A transaction has a part for each of its jobs: the final record under the stamp of the open one, and
-    the mark that every controller watches. Records are read only once the rate leaves enough for the write:
-    they change all the time, and one that changed fails the whole transaction. Then that one is left to its
-    caller, and the others have another turn. Transactions don't wait for one another's answers.
+    """Cancels jobs; requests that wait for the write rate share a transaction.
 
-    `most_s`: after that long a write goes out however few writes the rate leaves.
+    Per job, a transaction writes the final record, on condition that the open one is unchanged, and the mark
+    that all controllers watch. A record that changed fails the whole transaction: its caller gets the
+    Conflict, and the other jobs are retried. Records change all the time, so they are read only once the rate
+    suffices for the write. Transactions don't wait for each other.
+
+    `max_wait_s` limits the wait for the write rate: after it, a batch is sent with whatever rate is left.
     """
 
-    def __init__(self, loop, state, most_s):
+    def __init__(self, loop, state, max_wait_s):
         self._loop = loop
         self._state = state
-        self._most_s = most_s
+        self._max_wait_s = max_wait_s
         self._waiting = {}  # job id -> Future of its Outcome
-        self._sending = False
-        self._reserved = 0
+        self._is_sending = False
+        self._reserved_writes = 0  # writes of batches whose records are being read
 
     def cancel(self, job_id):
-        """A Future of the Outcome; fails with Conflict, Unavailable or Unsure."""
+        """Returns a Future of the Outcome. It fails with Conflict, Unavailable or Unsure."""
         future = self._waiting.setdefault(job_id, Future())
         self._wake()
         return future
 
     def _wake(self):
-        if not self._sending:
-            self._sending = True
+        if not self._is_sending:
+            self._is_sending = True
             self._loop.spawn(self._send(), "cancellations")
 
     async def _send(self):
         try:
             while self._waiting:
-                await self._until_affordable()
-                batch = dict(islice(self._waiting.items(), self._most()))
+                await self._wait_for_write_rate()
+                batch = dict(islice(self._waiting.items(), self._max_jobs()))
                 for job_id in batch:
                     del self._waiting[job_id]
-                self._reserved += self._cost(batch)
-                self._loop.spawn(self._carry_out(batch), "cancel together")
+                self._reserved_writes += self._count_writes(batch)
+                self._loop.spawn(self._process_batch(batch), "cancel together")
         finally:
-            self._sending = False
+            self._is_sending = False
 
-    async def _carry_out(self, batch):
-        """Reads the records of a batch and writes those that are open."""
+    async def _process_batch(self, batch):
+        """Reads the records of a batch and writes those that are still open."""
         try:
-            records = await self._read(batch)
+            records = await self._read_records(batch)
         finally:
-            self._reserved -= self._cost(batch)
+            self._reserved_writes -= self._count_writes(batch)
         if records:
             await self._write(batch, records)
 
     @staticmethod
-    def _cost(jobs):
-        """Writes of a transaction for these jobs."""
-        return 1 + WRITES_EACH * len(jobs)
+    def _count_writes(jobs):
+        """Returns the number of writes in a transaction for these jobs."""
+        return 1 + WRITES_PER_JOB * len(jobs)
 
-    def _level(self):
-        """Writes that the rate leaves now, beside those of batches that are being read."""
-        return self._state.writes.level() - self._reserved
+    def _available_writes(self):
+        """Returns the writes that the rate allows now, less those reserved for batches in progress."""
+        return self._state.writes.level() - self._reserved_writes
 
-    async def _until_affordable(self):
-        """Waits until the rate leaves enough for all that wait, or about as much as it ever does at once."""
-        writes, until = self._state.writes, self._loop.now() + self._most_s
+    async def _wait_for_write_rate(self):
+        """Waits until the rate suffices for all waiting jobs, or for nearly a full burst."""
+        writes, deadline = self._state.writes, self._loop.now() + self._max_wait_s
         while True:
-            most = min(self._state.limits.txn_ops, AMPLE * writes.burst)
-            missing = min(self._cost(self._waiting), most) - self._level()
-            left_s = until - self._loop.now()
-            if missing <= 0 or left_s <= LEAST_S:
+            target = min(self._state.limits.txn_ops, FULL_BURST_FRACTION * writes.burst)
+            missing = min(self._count_writes(self._waiting), target) - self._available_writes()
+            left_s = deadline - self._loop.now()
+            if missing <= 0 or left_s <= MIN_WAIT_S:
                 return
-            await self._loop.sleep(min(max(LEAST_S, missing / writes.rate), left_s))
+            await self._loop.sleep(min(max(MIN_WAIT_S, missing / writes.rate), left_s))
+
+    def _max_jobs(self):
+        """Returns how many jobs fit the next transaction by its size and the rate, at least 1."""
+        writes = min(self._state.limits.txn_ops, self._available_writes())
+        return max(1, int((writes - 1) / WRITES_PER_JOB))
 
-    def _most(self):
-        """Jobs in the next transaction: what its size and the rate leave, one at the least."""
-        writes = min(self._state.limits.txn_ops, self._level())
-        return max(1, int((writes - 1) / WRITES_EACH))
+    async def _read_records(self, batch):
+        """Returns {job id: (open record, its stamp)} of the jobs to write.
 
-    async def _read(self, batch):
-        """{job id: (open record, its stamp)} of those to be written; the others have their outcome."""
+        The other jobs get their Outcome or error here.
+        """
         records = {}
         reads = [
             self._loop.spawn(self._read_one(job_id, future, records), "read to cancel")
@@ -122,13 +130,13 @@
         final = {job_id: closing(record) for job_id, (record, _stamp) in records.items()}
         writes = [{"put": CANCELS, "data": next(iter(final))}]
         for job_id, record in final.items():
-            writes += [{"put": KEY + job_id, "data": record}, {"put": CANCEL + job_id, "data": True}]
+            writes += [{"put": KEY + job_id, "data": record}, {"put": MARK_PREFIX + job_id, "data": True}]
         try:
             revision = await self._state.multi(
                 [(KEY + job_id, stamp) for job_id, (_record, stamp) in records.items()], writes
             )
         except Conflict as conflict:
-            self._settle_conflict({job_id: batch[job_id] for job_id in final}, conflict)
+            self._handle_conflict({job_id: batch[job_id] for job_id in final}, conflict)
         except (Unavailable, Unsure) as error:
             for job_id in final:
                 batch[job_id].fail(error)
@@ -136,21 +144,21 @@
             for job_id, record in final.items():
                 batch[job_id].set(Outcome(record, revision))
 
-    def _settle_conflict(self, batch, conflict):
-        """Nothing was written: those whose record changed fail, the others have another turn."""
+    def _handle_conflict(self, batch, conflict):
+        """Nothing was written: fails the jobs whose record changed and retries the others."""
         changed = {job_id for job_id in batch if KEY + job_id in conflict.failed} or batch.keys()
         for job_id, future in batch.items():
             if job_id in changed:
                 future.fail(conflict)
             elif job_id in self._waiting:
-                self._waiting[job_id].on_done(lambda again, future=future: pass_on(again, future))
+                self._waiting[job_id].on_done(lambda again, future=future: copy_outcome(again, future))
             else:
                 self._waiting[job_id] = future
         self._wake()
 
 
-def pass_on(source, future):
-    """The outcome of one Future becomes another's."""
+def copy_outcome(source, future):
+    """Completes `future` with the result or error of `source`."""
     try:
         future.set(source.result())
     except (Conflict, Unavailable, Unsure) as error:
--- a/roadhead/api/cancellations.py
+++ b/roadhead/api/cancellations.py
@@ -1,4 +1,4 @@
-"""Cancellations of jobs by their users."""
+"""Cancels jobs for their users."""
 
 from roadhead.api.answers import NO_JOB, Answer, Cause, RefusedError
 from roadhead.api.cancellation_writer import CancellationWriter
@@ -6,13 +6,16 @@
 from roadhead.wire import messages
 from roadhead.wire.messages import JOB_ID
 
-ROUNDS = 5  # of writing against a record that changes
-PAUSE_PART = 1 / 8  # of the time for them, after a request that the state service refused
+MAX_ATTEMPTS = 5  # compare-and-set attempts against a record that keeps changing
+PAUSE_FRACTION = 1 / 8  # fraction of `wait_s` to pause after the state service refused a request
 
 
 class Cancellations:
-    """`node`: the controller's Node; `states`: a JobStates; `readiness`: a Readiness; `wait_s`: no further
-    round begins after that long, as the user does not wait for its outcome."""
+    """Answers cancellation requests.
+
+    `node`: the controller's Node; `states`: a JobStates; `readiness`: a Readiness; `wait_s`: no further
+    attempt begins after this time, as the user would no longer wait for its outcome.
+    """
 
     def __init__(self, loop, node, states, readiness, wait_s):
         self._loop = loop
@@ -23,17 +26,17 @@
         self._writer = CancellationWriter(loop, node.state, wait_s / 2)
 
     async def answer(self, job_id):
-        """The Answer to POST /v1/jobs/{id}/cancel. Raises one of UNCERTAIN."""
+        """Returns the Answer to POST /v1/jobs/{id}/cancel. Raises one of UNCERTAIN_ERRORS."""
         if not JOB_ID.match(job_id):
             return NO_JOB
-        until = self._loop.now() + self._wait_s
+        deadline = self._loop.now() + self._wait_s
         await self._readiness.until(self._readiness.lacks_membership)
         if job_id not in self._node.book.finals:
             self._readiness.check_state()
         refused_before = False
-        for _ in range(ROUNDS):
+        for _ in range(MAX_ATTEMPTS):
             try:
-                return await self._round(job_id)
+                return await self._attempt(job_id)
             except Conflict:
                 cause = Cause.CONFLICTS
             except Unsure:
@@ -41,18 +44,18 @@
             except Unavailable:
                 if refused_before:
                     raise
-                refused_before = True  # beyond the rates: there is room again soon, unless it is an outage
+                refused_before = True  # over the rate limit: this soon passes, unless it is an outage
                 cause = Cause.STATE_UNAVAILABLE
-                await self._loop.sleep(self._wait_s * PAUSE_PART)
-            if self._loop.now() > until:
+                await self._loop.sleep(self._wait_s * PAUSE_FRACTION)
+            if self._loop.now() > deadline:
                 break
         raise RefusedError(cause)
 
-    async def _round(self, job_id):
-        """The Answer by the job's record, which is made final if it is open.
+    async def _attempt(self, job_id):
+        """Makes the job's record final if it is open, and returns the Answer.
 
-        Raises Conflict if the record changed meanwhile, Unsure if an answer was lost: then the next round
-        reads what came of it. Raises Unavailable if nothing was done.
+        Raises Conflict if the record changed meanwhile, or Unsure if the state service's answer was lost: the
+        next attempt reads the outcome. Raises Unavailable if nothing was written.
         """
         known = self._states.final(job_id)
         if known is not None:
@@ -67,7 +70,7 @@
         return Answer(200, messages.job_status(job_id, "cancelled"))
 
     def _apply(self, job_id, record, revision):
-        """The cancellation is durable: its tasks are stopped and the other controllers told."""
+        """Applies a durable cancellation: stops the job's tasks and notifies the other controllers."""
         node = self._node
         node.book.remember(job_id, record)
         node.shelf.add(job_id, record, revision)
--- a/roadhead/api/job_states.py
+++ b/roadhead/api/job_states.py
@@ -1,4 +1,4 @@
-"""A job's state as a user is told it, from its record and what this controller owns of it."""
+"""A job's state as users see it, from its record and, if this controller owns the job, its task counts."""
 
 from roadhead.api.answers import Answer, Cause, RefusedError
 from roadhead.jobs.job import FINAL, answer
@@ -6,35 +6,39 @@
 
 
 class JobStates:
-    """`node`: the controller's Node."""
+    """Builds answers about jobs. `node`: the controller's Node."""
 
     def __init__(self, node):
         self._node = node
 
     def final(self, job_id):
-        """The Answer on a job known here to be over, or None: what is final needs no look at the record."""
+        """Returns the Answer for a job known here to have ended, without reading its record, or None."""
         record = self._node.book.finals.get(job_id)
         return None if record is None else self.final_answer(job_id, record)
 
     def final_answer(self, job_id, record):
-        """The Answer from a final record. Raises RefusedError if a cancellation can't be told now."""
-        # One cancelled with a job that it needs had no task yet.
+        """Returns the Answer for a final record.
+
+        Raises RefusedError if a cancellation can't be announced now.
+        """
+        # A job cancelled because of an upstream job ("above") never had a task to stop.
         if record["s"] == "cancelled" and "above" not in record:
             self._tell_cancelled(job_id)
         return Answer(200, answer(record, job_id))
 
     def _tell_cancelled(self, job_id):
+        """Notifies the shard leaders of a cancellation before the user hears of it."""
         if not self._node.member.joined:
             raise RefusedError(Cause.NOT_A_MEMBER)
         self._node.cancelled([job_id])
 
     async def read(self, job_id):
-        """The Answer from the job's record as it is now, or None if there is none. Raises an UNCERTAIN."""
+        """Returns the Answer for the job's current record, or None. Raises one of UNCERTAIN_ERRORS."""
         record = await self._node.read(job_id)
         return None if record is None else self.answer(job_id, record)
 
     def answer(self, job_id, record):
-        """The Answer from a record just read, with the counts of its owner if that is this controller."""
+        """Returns the Answer for a record just read, with live task counts of a job owned here."""
         if record["s"] in FINAL:
             self._node.book.remember(job_id, record)
             return self.final_answer(job_id, record)
--- a/roadhead/api/reports.py
+++ b/roadhead/api/reports.py
@@ -1,22 +1,26 @@
-"""Reports of workers."""
+"""Answers reports of workers."""
 
 from roadhead.api.answers import Answer
 from roadhead.wire import messages
 
-UNENTITLED = Answer(503)
+NO_AUTHORITY = Answer(503)
 
 
 class WorkerReports:
-    """`node`: the controller's Node."""
+    """Answers report requests. `node`: the controller's Node."""
 
     def __init__(self, node):
         self._node = node
 
     def answer(self, body):
-        """The Answer to POST /v1/report: commands, a redirection, or 503 without authority over it."""
+        """Returns the Answer to POST /v1/report.
+
+        That is commands, 421 with the label of the machine's shard leader, or 503 without authority over the
+        machine.
+        """
         node = self._node
         if not node.member.joined:
-            return UNENTITLED
+            return NO_AUTHORITY
         try:
             report = messages.read(body, messages.Report)
             report.check()
@@ -26,8 +30,8 @@
         if home != node.label:
             return Answer(421, messages.redirect(home))
         if not node.authority.may_renew():
-            return UNENTITLED
+            return NO_AUTHORITY
         renewal = node.home.hearing.answer(report)
         if renewal is None:
-            return UNENTITLED
+            return NO_AUTHORITY
         return Answer(200, messages.report_answer(renewal.token, renewal.orders))
--- a/roadhead/api/server.py
+++ b/roadhead/api/server.py
@@ -1,11 +1,11 @@
-"""The HTTP interface to users and workers: connections, and which part answers which request."""
+"""The HTTP server for users, workers and operators: accepts connections and routes requests."""
 
 import logging
 
 from roadhead.api.answers import (
     NO_PATH,
     UNAVAILABLE,
-    UNCERTAIN,
+    UNCERTAIN_ERRORS,
     UNSIGNED,
     WRONG_METHOD,
     Answer,
@@ -25,21 +25,27 @@
 
 log = logging.getLogger("roadhead.api")
 
-REPORT = "/v1/report"
-READY = "/ready"
-SUMMARY = "/v1/summary"
-SHARES = "/v1/shares"
-JOBS = "/v1/jobs"
-USAGE = "/v1/tenants/"
-# What is stored is newer than this version: it touches nothing.
+REPORT_PATH = "/v1/report"
+READY_PATH = "/ready"
+SUMMARY_PATH = "/v1/summary"
+SHARES_PATH = "/v1/shares"
+JOBS_PATH = "/v1/jobs"
+TENANT_USAGE_PATH = "/v1/tenants/"
+# Stored records have a newer format than this version knows: it must neither interpret nor change them.
 NEWER_FORMAT = RefusedError(Cause.NEWER_FORMAT)
-JOIN_PART = 1 / 8  # of the time for a creation, for which users wait until this controller can decide
-OPEN_PATHS = (READY, REPORT)  # to the platform and the workers; the rest is the gateways'
+JOIN_WAIT_FRACTION = 1 / 8  # fraction of `create_s` for which requests wait until this controller can decide
+OPEN_PATHS = (
+    READY_PATH,
+    REPORT_PATH,
+)  # unsigned, for the platform and workers; gateways sign all other requests
 
 
 class Api:
-    """Serves connections. `node`: the controller's Node; `sockets`: its admission/sockets.py; `create_s`: for
-    how long a creation is waited for; `patience_s`: for the rest of a request that has begun."""
+    """Serves HTTP connections.
+
+    `node`: the controller's Node; `sockets`: its admission/sockets.py; `create_s`: how long to wait for a
+    job's creation; `patience_s`: how long a request that has begun may take to arrive completely.
+    """
 
     def __init__(self, loop, node, sockets, create_s, patience_s):
         self._loop = loop
@@ -48,13 +54,13 @@
         self._patience_s = patience_s
         states = JobStates(node)
         self._reports = WorkerReports(node)
-        self.readiness = Readiness(loop, node, create_s * JOIN_PART)
+        self.readiness = Readiness(loop, node, create_s * JOIN_WAIT_FRACTION)
         self._submissions = Submissions(loop, node, states, self.readiness, create_s)
         self._polls = Polls(states)
         self._cancellations = Cancellations(loop, node, states, self.readiness, create_s / 2)
 
     def accept(self, stream):
-        """A connection was opened."""
+        """Takes a newly opened connection, or closes it if too many are open."""
         if not self._sockets.admit():
             stream.close()
             return
@@ -66,9 +72,9 @@
         async def handle(request):
             nonlocal worker
             answer = await self._handle(request)
-            if not worker and request.target == REPORT:
+            if not worker and request.target == REPORT_PATH:
                 worker = self._sockets.keep_worker()
-                request.close = request.close or not worker  # it comes again with its next report
+                request.close = request.close or not worker  # the worker reconnects for its next report
             return answer
 
         try:
@@ -79,30 +85,34 @@
     # Routing
 
     async def _handle(self, request):
-        """The Answer to a request."""
+        """Returns the Answer to a request."""
         path = request.target.partition("?")[0]
         desk = self._node.desk
         if desk is not None and path not in OPEN_PATHS and not desk.signed(request):
             return UNSIGNED
-        if path == JOBS or path.startswith(JOBS + "/"):
+        if path == JOBS_PATH or path.startswith(JOBS_PATH + "/"):
             answer = await self._answer_user(request.method, path, request.body)
             if answer.status == UNAVAILABLE and not self._node.ready():
-                # The load balancer passes this controller over, for new connections alone.
+                # The load balancer avoids this controller for new connections only, so close this one.
                 request.close = True
             return answer
         if self._node.member.gate.outdated:
             return NEWER_FORMAT.answer()
-        if desk is not None and path.startswith(USAGE) and path[len(USAGE) :].isdigit():
-            return Answer(200, desk.usage(int(path[len(USAGE) :])))
+        if (
+            desk is not None
+            and path.startswith(TENANT_USAGE_PATH)
+            and path[len(TENANT_USAGE_PATH) :].isdigit()
+        ):
+            return Answer(200, desk.usage(int(path[len(TENANT_USAGE_PATH) :])))
         return self._answer_operator(request.method, path, request.body)
 
     def _answer_operator(self, method, path, body):
-        """Requests of workers, the load balancer and operators."""
+        """Answers requests of workers, the load balancer and operators."""
         handlers = {
-            REPORT: ("POST", lambda: self._reports.answer(body)),
-            READY: ("GET", lambda: Answer(200 if self._node.ready() else UNAVAILABLE)),
-            SUMMARY: ("GET", lambda: Answer(200, messages.encode(self._node.summary()))),
-            SHARES: ("GET", lambda: Answer(200, messages.encode(self._node.shares()))),
+            REPORT_PATH: ("POST", lambda: self._reports.answer(body)),
+            READY_PATH: ("GET", lambda: Answer(200 if self._node.ready() else UNAVAILABLE)),
+            SUMMARY_PATH: ("GET", lambda: Answer(200, messages.encode(self._node.summary()))),
+            SHARES_PATH: ("GET", lambda: Answer(200, messages.encode(self._node.shares()))),
         }
         if path not in handlers:
             return NO_PATH
@@ -110,10 +120,10 @@
         return handle() if method == expected else WRONG_METHOD
 
     async def _answer_user(self, method, path, body):
-        """Requests of users: /v1/jobs, /v1/jobs/ID and /v1/jobs/ID/cancel."""
-        if path == JOBS:
+        """Answers requests of users: /v1/jobs, /v1/jobs/ID and /v1/jobs/ID/cancel."""
+        if path == JOBS_PATH:
             return await self._submit(body) if method == "POST" else WRONG_METHOD
-        job_id, slash, verb = path[len(JOBS) + 1 :].partition("/")
+        job_id, slash, verb = path[len(JOBS_PATH) + 1 :].partition("/")
         if not slash:
             return await self._poll(job_id) if method == "GET" else WRONG_METHOD
         if verb != "cancel":
@@ -123,22 +133,22 @@
     # Users
 
     async def _submit(self, body):
-        return await self._sure(Question.SUBMISSION, self._submissions.answer, body)
+        return await self._answer_or_refuse(Question.SUBMISSION, self._submissions.answer, body)
 
     async def _poll(self, job_id):
-        return await self._sure(Question.POLL, self._polls.answer, job_id)
+        return await self._answer_or_refuse(Question.POLL, self._polls.answer, job_id)
 
     async def _cancel(self, job_id):
-        return await self._sure(Question.CANCELLATION, self._cancellations.answer, job_id)
+        return await self._answer_or_refuse(Question.CANCELLATION, self._cancellations.answer, job_id)
 
-    async def _sure(self, question, answer, about):
-        """What `answer(about)` returns, or 503 if it is not known for sure: never a guess (safety 5)."""
+    async def _answer_or_refuse(self, question, answer, argument):
+        """Returns `answer(argument)`, or 503 if the result is uncertain (docs/design.md, safety rule 5)."""
         try:
             if self._node.member.gate.outdated:
                 raise NEWER_FORMAT
-            return await answer(about)
-        except UNCERTAIN as error:
+            return await answer(argument)
+        except UNCERTAIN_ERRORS as error:
             refusal = refusal_of(error)
-            log.debug("%s refused, %s: %r", question.value, refusal.cause.value, error)
+            log.debug("%s answered 503, cause %s: %r", question.value, refusal.cause.value, error)
             self._node.counters.add(counter_of(question, refusal.cause))
             return refusal.answer()
--- a/roadhead/api/submissions.py
+++ b/roadhead/api/submissions.py
@@ -1,4 +1,4 @@
-"""Submissions of jobs: validation, refusals, and the wait until the job's record is durable."""
+"""Submits jobs: validates them, refuses what can't run, and waits until the job's record is durable."""
 
 import msgspec
 
@@ -7,12 +7,12 @@
 from roadhead.runtime.loop import Timeout
 from roadhead.wire import messages
 
-FORMAT_RETRY_S = 2  # a roll of all controllers takes longer than a second
-BACKLOG_RETRY_S = 2  # some of what waits is written by then
+FORMAT_RETRY_S = 2  # a rolling upgrade of all controllers takes longer than a second
+BACKLOG_RETRY_S = 2  # part of the backlog is written by then
 
 
 def parse(body):
-    """The JobSpec of a body. Raises messages.Invalid."""
+    """Decodes a submission into a valid JobSpec. Raises messages.Invalid."""
     spec = messages.parse(messages.decode_strict_map(body), messages.JobSpec)
     spec.check()
     if spec.upstream is None:
@@ -21,8 +21,11 @@
 
 
 class Submissions:
-    """`node`: the controller's Node; `states`: a JobStates; `readiness`: a Readiness; `create_s`: how long a
-    creation may take."""
+    """Answers submissions.
+
+    `node`: the controller's Node; `states`: a JobStates; `readiness`: a Readiness; `create_s`: how long a
+    creation may take.
+    """
 
     def __init__(self, loop, node, states, readiness, create_s):
         self._loop = loop
@@ -32,7 +35,7 @@
         self._create_s = create_s
 
     async def answer(self, body):
-        """The Answer to POST /v1/jobs. Raises one of UNCERTAIN."""
+        """Returns the Answer to POST /v1/jobs. Raises one of UNCERTAIN_ERRORS."""
         try:
             spec = parse(body)
         except messages.Invalid as error:
@@ -48,39 +51,40 @@
         if spec.upstream and not self._node.member.gate.open:
             raise RefusedError(Cause.FORMAT_GATE, FORMAT_RETRY_S)
         self._readiness.check_state()
-        fault, cancelled = await self._fault(spec)
+        fault, cancelled = await self._check_runnable(spec)
         refused = Answer(422, messages.error(fault)) if fault else self._tenant_refusal(spec)
         if refused is not None:
-            # A retry of an accepted job is answered as ever.
+            # A retry of a job that was accepted earlier is answered with the job's state.
             return await self._states.read(spec.id) or refused
         self._check_backlog()
         return await self._create(spec, cancelled=cancelled)
 
     async def _known(self, job_id):
-        """Of an open job owned here: it may have been cancelled elsewhere, so its record is read."""
+        """Answers for an open job owned here. It may have been cancelled elsewhere, so its record is read."""
         answer = await self._states.read(job_id)
         if answer is None:
             raise RefusedError(Cause.RECORD_MISSING)
         return answer
 
     async def _join_creation(self, spec):
-        """Of a job whose creation is under way: that counts, whatever this submission says of the job.
+        """Answers for a job whose creation is in progress; the first submission's description counts.
 
-        What the creation has found may be older than this submission, so the record is read after it.
+        The creation may have read the record before this submission arrived, so the record is read again
+        after it.
         """
-        cancelled = bool(spec.upstream) and (await self._fault(spec))[1]
+        cancelled = bool(spec.upstream) and (await self._check_runnable(spec))[1]
         await self._create(spec, cancelled=cancelled)
         return self._states.final(spec.id) or await self._known(spec.id)
 
-    async def _fault(self, spec):
-        """(why the job can never run or None, whether it is cancelled with a job that it needs)."""
+    async def _check_runnable(self, spec):
+        """Returns (why the job can never run or None, whether it is cancelled because of an upstream job)."""
         fault = self._node.impossible(spec)
         if fault or not spec.upstream:
             return fault, False
         return await self._node.ancestry.admission(spec, self._node.own(spec))
 
     def _tenant_refusal(self, spec):
-        """The Answer that keeps the job's tenant to its limits, or None."""
+        """Returns the Answer if the job exceeds its tenant's limits, else None."""
         node = self._node
         if node.desk is None:
             return None
@@ -88,7 +92,7 @@
         return refusal and Answer(refusal.status, messages.error(refusal.text), refusal.retry_after)
 
     def _check_backlog(self):
-        """Raises RefusedError if the creation could not be written in time."""
+        """Raises RefusedError if the job's record can't be written in time."""
         node = self._node
         if node.member.lapsed():
             raise RefusedError(Cause.LEASE_EXPIRED)
@@ -98,7 +102,10 @@
             raise RefusedError(Cause.TOO_MANY_CREATIONS, BACKLOG_RETRY_S)
 
     async def _create(self, spec, *, cancelled):
-        """Waits until the job's record is durable, or found. `cancelled`: with a job that it needs."""
+        """Creates the job and returns the Answer once its record is durable, or an existing record is found.
+
+        `cancelled`: the job is cancelled because of an upstream job.
+        """
         book = self._node.book
         try:
             new, record = await self._loop.within(self._create_s, book.create(spec))
@@ -109,13 +116,13 @@
         if new:
             if cancelled:
                 book.line.cancelled_above(spec)
-            # It may be over by now, cancelled with a job that it needs.
+            # The job may have ended by now: cancelled because of an upstream job.
             known = self._states.final(spec.id)
             return Answer(201, known.body if known else messages.job_status(spec.id, "pending"))
         if (known := self._states.final(spec.id)) is not None:
             return known
         if record is None:
             raise RefusedError(Cause.CREATION_REFUSED)
-        if before(record):  # whether it is cancelled is not in its record alone
+        if before(record):  # whether it is cancelled also depends on the records of upstream jobs
             return await self._known(spec.id)
         return self._states.answer(spec.id, record)
