--- a/roadhead/wire/frames.py
+++ b/roadhead/wire/frames.py
@@ -39,61 +39,61 @@
 
 
 def _pack(steps, values, out):
-    at = 0
+    index = 0
     for step, fields in steps:
         if step == "s":
-            data = values[at].encode()
+            data = values[index].encode()
             out += U16.pack(len(data))
             out += data
         elif step == "b":
-            out += U32.pack(len(values[at]))
-            out += values[at]
+            out += U32.pack(len(values[index]))
+            out += values[index]
         elif step == "T":
-            out += U32.pack(len(values[at]))
-            for text in values[at]:
+            out += U32.pack(len(values[index]))
+            for text in values[index]:
                 data = text.encode()
                 out += U16.pack(len(data))
                 out += data
         else:
-            out += step.pack(*values[at : at + fields])
-        at += fields
-    if at != len(values):
-        raise ValueError(f"frame takes {at} fields, got {len(values)}")
+            out += step.pack(*values[index : index + fields])
+        index += fields
+    if index != len(values):
+        raise ValueError(f"frame takes {index} fields, got {len(values)}")
 
 
-def _unpack(steps, data, at):
+def _unpack(steps, data, offset):
     values = []
     for step, _fields in steps:
         if step == "s":
-            text, at = _unpack_text(data, at)
+            text, offset = _unpack_text(data, offset)
             values.append(text)
         elif step == "b":
-            (size,) = U32.unpack_from(data, at)
-            at += 4
-            if at + size > len(data):
+            (size,) = U32.unpack_from(data, offset)
+            offset += 4
+            if offset + size > len(data):
                 raise BadFrame("truncated")
-            values.append(bytes(data[at : at + size]))
-            at += size
+            values.append(bytes(data[offset : offset + size]))
+            offset += size
         elif step == "T":
-            (count,) = U32.unpack_from(data, at)
-            at += 4
+            (count,) = U32.unpack_from(data, offset)
+            offset += 4
             texts = []
             for _ in range(count):
-                text, at = _unpack_text(data, at)
+                text, offset = _unpack_text(data, offset)
                 texts.append(text)
             values.append(texts)
         else:
-            values += step.unpack_from(data, at)
-            at += step.size
-    return values, at
+            values += step.unpack_from(data, offset)
+            offset += step.size
+    return values, offset
 
 
-def _unpack_text(data, at):
-    (size,) = U16.unpack_from(data, at)
-    at += 2
-    if at + size > len(data):
+def _unpack_text(data, offset):
+    (size,) = U16.unpack_from(data, offset)
+    offset += 2
+    if offset + size > len(data):
         raise BadFrame("truncated")
-    return data[at : at + size].decode(), at + size
+    return data[offset : offset + size].decode(), offset + size
 
 
 class Frame:
@@ -157,19 +157,19 @@
 
         Raises BadFrame, or struct.error, UnicodeDecodeError or IndexError, which `Splitter` converts.
         """
-        values, at = _unpack(cls._before, data, 0)
+        values, offset = _unpack(cls._before, data, 0)
         if cls._rows_at is not None:
-            (count,) = U32.unpack_from(data, at)
-            at += 4
+            (count,) = U32.unpack_from(data, offset)
+            offset += 4
             rows = []
             for _ in range(count):
-                row, at = _unpack(cls._row, data, at)
+                row, offset = _unpack(cls._row, data, offset)
                 rows.append(tuple(row))
             values.append(rows)
-            after, at = _unpack(cls._after, data, at)
+            after, offset = _unpack(cls._after, data, offset)
             values += after
-        if at != len(data):
-            raise BadFrame(f"{cls.__name__}: {len(data) - at} trailing bytes")
+        if offset != len(data):
+            raise BadFrame(f"{cls.__name__}: {len(data) - offset} trailing bytes")
         return cls(*values)
 
 
@@ -200,9 +200,10 @@
 
 
 class Demand(Frame):
-    """A controller's free-machine list length and the resources its waiting tasks request, in queue order.
+    """A controller's count of granted machines and the resources that its waiting tasks request.
 
-    Each row stands for one resource shape. `images` are those that the most urgent waiting tasks need.
+    Each row stands for one resource shape; rows come in queue order. `images` are those that the most urgent
+    waiting tasks need.
     """
 
     kind, layout = 4, "qRT"
@@ -212,9 +213,10 @@
 
 
 class Grant(Frame):
-    """Adds free capacity to the receiver's free-machine list, or updates the capacity of a machine on it.
+    """Grants free capacity of a machine to the receiver, or updates the capacity of a granted machine.
 
-    `taken` counts the starts under this grant that the capacity already accounts for.
+    `taken` counts the starts under this grant that the capacity already accounts for; `lapse_s` is the
+    grant's lifetime in seconds.
     """
 
     kind, layout = 5, "sqqsss?dddTd"
@@ -235,7 +237,7 @@
 
 
 class Return(Frame):
-    """The holder of a grant gives it back; `length` is the new length of its free-machine list."""
+    """The holder of a grant gives it back; `length` is the number of machines still granted to it."""
 
     kind, layout = 6, "sqq"
     fields = ("machine", "serial", "length")
@@ -462,21 +464,23 @@
     def frames(self):
         """Removes and returns all complete frames. Raises BadFrame."""
         buffer = self._buffer
-        at = 0
+        offset = 0
         found = []
-        while len(buffer) - at >= HEADER.size:
-            length, kind = HEADER.unpack_from(buffer, at)
+        while len(buffer) - offset >= HEADER.size:
+            length, kind = HEADER.unpack_from(buffer, offset)
             if not 1 <= length <= MAX_FRAME_BYTES:
                 raise BadFrame(f"frame length {length}, expected 1 to {MAX_FRAME_BYTES}")
-            if len(buffer) - at < 4 + length:
+            if len(buffer) - offset < 4 + length:
                 break
             cls = KINDS.get(kind)
             if cls is None:
                 raise BadFrame(f"unknown frame kind {kind}")
             try:
-                found.append(cls.parse(memoryview(buffer)[at + HEADER.size : at + 4 + length].tobytes()))
+                found.append(
+                    cls.parse(memoryview(buffer)[offset + HEADER.size : offset + 4 + length].tobytes())
+                )
             except (struct.error, UnicodeDecodeError, IndexError) as error:
                 raise BadFrame(str(error)) from None
-            at += 4 + length
-        del buffer[:at]
+            offset += 4 + length
+        del buffer[:offset]
         return found
