--- a/roadhead/tenants/__init__.py
+++ b/roadhead/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants: their durable records, what each is allowed, and how one comes, rests and goes."""
+"""Multi-tenancy: the tenants' durable records, access keys, limits, fair shares, and their removal."""
--- a/roadhead/tenants/admission.py
+++ b/roadhead/tenants/admission.py
@@ -1,8 +1,8 @@
-"""Whether a tenant's request is taken: pure decisions, the same at gateways and controllers.
+"""Decides whether a tenant's request is admitted: pure functions, used by gateways and controllers alike.
 
-A gateway lets through what the tenant's rate allows and so keeps a flood away from the
-controllers. The tenant's warden, through which all its submissions come, decides again by what
-it alone knows: the rate over all gateways, the open jobs, the tasks that wait.
+A gateway applies the tenant's rate limit and so keeps floods away from the controllers. All submissions of a
+tenant go through its quota leader, which also checks what only it knows: the rate over all gateways, the open
+jobs and the waiting tasks.
 """
 
 from typing import NamedTuple
@@ -11,14 +11,17 @@
 from roadhead.tenants.records import ACTIVE, REMOVED, REMOVING, SUSPENDED
 
 BURST_S = 10.0
-FULL_S = 5  # after which it is worth asking again when a tenant is full
-PART = 0.25  # of the creations that can be written in time are one tenant's at the most
-PART_WITHIN = 0.5  # the same for work within a guarantee
+LIMIT_RETRY_S = 5  # `Retry-After` for a tenant that has reached its limits
+CREATION_SHARE = 0.25  # largest fraction of the creations that can be written in time for one tenant
+CREATION_SHARE_WITHIN_GUARANTEE = 0.5  # the same for work within a guarantee
 KEPT_MOST = 4096
 
 
 class Refusal(NamedTuple):
-    """The final answer: HTTP status, a fixed text that names nobody, seconds to wait or None."""
+    """A final answer: HTTP status, a fixed text, seconds for `Retry-After` or None.
+
+    The text must name no other tenant.
+    """
 
     status: int
     text: str
@@ -35,7 +38,7 @@
 
 
 def standing(tenant):
-    """Why a tenant of this state may not submit, or None."""
+    """Returns the Refusal if the tenant's state doesn't allow submissions, else None."""
     if tenant.state in (REMOVING, REMOVED):
         return GONE
     if tenant.state == SUSPENDED:
@@ -44,33 +47,38 @@
 
 
 def full(limits, open_jobs, waiting_tasks, tasks):
-    """Why one more job with so many tasks is too much for the tenant, or None."""
+    """Returns the Refusal if one more job with `tasks` tasks exceeds the tenant's limits, else None."""
     if limits.open_jobs and open_jobs >= limits.open_jobs:
-        return Refusal(429, TOO_MANY_JOBS, FULL_S)
+        return Refusal(429, TOO_MANY_JOBS, LIMIT_RETRY_S)
     if limits.waiting_tasks and waiting_tasks + tasks > limits.waiting_tasks:
-        return Refusal(429, TOO_MANY_TASKS, FULL_S)
+        return Refusal(429, TOO_MANY_TASKS, LIMIT_RETRY_S)
     return None
 
 
-def crowded(creating, most, within):
-    """Why a tenant with so many creations under way must wait, or None: others need the rest.
+def crowded(creating, max_creations, within):
+    """Returns the Refusal if a tenant has too many creations in progress, else None.
 
-    Work `within` its team's guarantee may take half of all.
+    The remaining ones are left to other tenants. Work `within` its team's guarantee may take half of all.
     """
-    if creating >= max(1, int((PART_WITHIN if within else PART) * most)):
+    if creating >= max(
+        1, int((CREATION_SHARE_WITHIN_GUARANTEE if within else CREATION_SHARE) * max_creations)
+    ):
         return Refusal(429, TOO_MUCH_AT_ONCE, 1)
     return None
 
 
 class Rates:
-    """A token bucket for each tenant seen lately. What is forgotten was full again long since."""
+    """Rate limits of submissions: a token bucket for each recently seen tenant.
+
+    The least recently used bucket beyond KEPT_MOST is dropped; it has long been full again by then.
+    """
 
     def __init__(self, loop):
         self._loop = loop
-        self._buckets = {}  # number -> Bucket, the least lately used first
+        self._buckets = {}  # tenant number -> Bucket, least recently used first
 
     def take(self, tenant):
-        """None if one more submission is within the rate, else the Refusal."""
+        """Takes one submission from the tenant's rate. Returns None, or the Refusal beyond the rate."""
         rate = tenant.limits.submissions
         bucket = self._buckets.pop(tenant.number, None)
         if bucket is None or bucket.rate != rate:
--- a/roadhead/tenants/desk.py
+++ b/roadhead/tenants/desk.py
@@ -1,6 +1,6 @@
-"""A controller's side of hosting: who may submit, what of the table concerns it, what tenants hold.
+"""Multi-tenant admission on a controller: who may submit, which tenant changes matter here, what tenants use.
 
-No sockets here: requests come in as calls of the API, changes as calls of the membership's watch.
+Opens no sockets: requests arrive as calls from the API, changes as calls from the membership's watch.
 """
 
 import logging
@@ -17,13 +17,15 @@
 
 log = logging.getLogger("roadhead.desk")
 
-BORROWING = 1e5  # windows after the first place at which borrowed work begins
-NEVER = 0  # a stamp that a tenant's record never has: it is there
-COUNTED_S = 1.0  # for which a count of waiting tasks is kept
-WHOLE_FLEET = 1e6  # windows by which the share of a whole fleet comes later
+BORROWING_START_WINDOWS = 1e5  # where borrowed work begins in the queue, after the first position
+NO_RECORD_STAMP = 0  # the stamp of a missing record: no tenant's record has it
+COUNT_CACHE_S = 1.0  # how long a count of waiting tasks is cached
+WHOLE_FLEET_WINDOWS = 1e6  # windows in the queue order that correspond to borrowing the whole fleet
 
 
 class Desk:
+    """Admits tenants' submissions and connects a controller's parts to the table of tenants."""
+
     def __init__(self, loop, hosted, time_of_day):
         self._loop = loop
         self._hosted = hosted
@@ -34,22 +36,26 @@
         self.teams = TenantTeams(self.table)
         self.secrets = Secrets(hosted.master)
         self._rates = admission.Rates(loop)
-        self._waiting = {}  # group -> [until when it counts, tasks]
+        self._waiting = {}  # group -> [when the cached count expires, waiting tasks]
         self._node = None
         self._removal = self._preemption = None
 
     def begin(self, node):
-        """A new incarnation starts: its duties."""
+        """Starts a new incarnation of the controller; returns its duties."""
         self._node = node
         self._removal = Removal(self._loop, node, self.table)
         return [self._removal.run]
 
     def share(self, node):
-        """A new incarnation starts: its queue goes by guarantees and weights."""
+        """Makes a new incarnation's queue follow guarantees and weights."""
         workers = node.settings.deployment.workers
         window_s = workers.lease_s
         sharing = Sharing(
-            self.teams, node.book.accounts, node.fleet.totals, BORROWING * window_s, WHOLE_FLEET * window_s
+            self.teams,
+            node.book.accounts,
+            node.fleet.totals,
+            BORROWING_START_WINDOWS * window_s,
+            WHOLE_FLEET_WINDOWS * window_s,
         )
         self._preemption = Preemption(
             self._loop,
@@ -67,12 +73,13 @@
             node.dispatcher.preemption = self._preemption
 
     def handlers(self):
+        """Returns {frame class: handler} of the frames about borrowed resources."""
         return {
             frames.Borrowed: lambda label, _incarnation, frame: self._preemption.on_borrowed(label, frame),
             frames.Reclaim: lambda _label, _incarnation, frame: self._preemption.on_reclaim(frame),
         }
 
-    # What changes
+    # Changes of tenants and terms
 
     def _on_change(self, old, new):
         if self._node is None:
@@ -87,32 +94,40 @@
         self._node.dispatcher.changed()
 
     def on_term(self):
+        """The membership term has changed."""
         self._removal.wake()
 
     def tick(self, every):
-        """With each beat. Now and then: what an owner that ended did not stop any more."""
+        """Runs with each heartbeat; `every` is a running count of them.
+
+        Every sixth time it also stops the work of suspended or removed tenants that an ended owner left
+        running.
+        """
         self._preemption.tell()
         for group in self._node.book.accounts.groups() if every % 6 == 0 else ():
             if self.teams.stopping(group):
                 self._node.book.stop_group(group)
 
-    # Guards of creations (jobs/recorder.py)
+    # Guards of job creations (jobs/recorder.py)
 
     def of(self, job):
-        """A job is created only while its tenant's record is the one known here: none comes after
-        the change that ended admission, however late its write."""
+        """Returns the (key, stamp) that must still hold when the job's record is created.
+
+        The tenant's record must be the one known here. So no job is created after the change that ended
+        admission, however late its write is applied.
+        """
         number, _team = ids.from_team(job.spec.team)
         entry = self.table.entry(number)
         if entry is None or entry.tenant.state != ACTIVE:
-            return key_of(number), NEVER
+            return key_of(number), NO_RECORD_STAMP
         return key_of(number), entry.stamp
 
     def later(self, job):
-        """Creations of work beyond its team's guarantee are written after those within."""
+        """Returns whether the job exceeds its team's guarantee: such jobs are written after those within."""
         return not self._within(job.spec)
 
     def _within(self, spec):
-        """Whether its team's guarantee, as far as it is known here, has room for a task."""
+        """Returns whether a task of the job fits into the unused guarantee of its team, as known here."""
         team = self.teams.get(spec.team)
         if team is None:
             return False
@@ -121,7 +136,7 @@
         return times((spec.cpus, spec.gpus), (team.cpus - held[0], team.gpus - held[1])) > 0
 
     def changed(self, key, record, stamp):
-        """What a guard's key holds now; whether nothing may be created under it."""
+        """Takes the current value of a guard's key. Returns whether creations under it must fail."""
         if record is not None:
             self.table.take(key, record, stamp)
         return record is None or record.get("state", ACTIVE) != ACTIVE
@@ -129,6 +144,7 @@
     # Requests
 
     def signed(self, request):
+        """Returns whether a gateway signed the request."""
         return self.secrets.signed(
             request.headers.get("roadhead-signature"),
             request.method,
@@ -139,7 +155,7 @@
 
     @staticmethod
     def neighbours(job_id):
-        """Whether another job is the same tenant's."""
+        """Returns a predicate: does another job id belong to the same tenant?"""
         named = ids.from_job(job_id)
 
         def own(other):
@@ -149,32 +165,34 @@
         return own
 
     def refusal(self, spec, most_creating):
-        """Why a submission is not taken now, or None. Its job is not known here."""
+        """Returns why a submission of a job unknown here is refused now, or None."""
         node = self._node
         member = node.member
         if self._loop.now() - member.watched_at > self._hosted.stale_s:
-            return admission.NOT_KNOWN  # whatever was decided of the tenant since
+            return admission.NOT_KNOWN  # the tenant may have been suspended or removed meanwhile
         entry, team = self.table.team(spec.team)
         if team is None:
             return admission.NOT_KNOWN
         tenant = entry.tenant
-        resting = admission.standing(tenant)
-        if resting is not None:
-            return resting
+        state_refused = admission.standing(tenant)
+        if state_refused is not None:
+            return state_refused
         group = str(tenant.number)
-        crowded = admission.crowded(node.book.creating(group), most_creating, self._within(spec))
-        if crowded is not None:
-            return crowded
+        creations_refused = admission.crowded(node.book.creating(group), most_creating, self._within(spec))
+        if creations_refused is not None:
+            return creations_refused
         if member.term.warden(group) == member.label:
             account = node.book.accounts.get(group)
             if account is not None:
                 waiting = self._waiting_of(group, account)
-                held_back = sum(
+                jobs_awaiting_upstream = sum(
                     count
                     for team, count in node.book.line.waits.by_team.items()
                     if self.teams.group(team) == group
                 )
-                refused = admission.full(tenant.limits, len(account.jobs) + held_back, waiting, spec.tasks)
+                refused = admission.full(
+                    tenant.limits, len(account.jobs) + jobs_awaiting_upstream, waiting, spec.tasks
+                )
                 if refused is not None:
                     return refused
         refused = self._rates.take(tenant)
@@ -183,15 +201,18 @@
         return refused
 
     def _waiting_of(self, group, account):
-        """Tasks that wait, counted anew once a second; what is taken meanwhile is added."""
+        """Returns the number of waiting tasks of a group.
+
+        It is counted once per second; tasks admitted in between are added to the cached count.
+        """
         now = self._loop.now()
         if group not in self._waiting or self._waiting[group][0] < now:
             self._waiting = {name: entry for name, entry in self._waiting.items() if entry[0] >= now}
-            self._waiting[group] = [now + COUNTED_S, account.waiting()]
+            self._waiting[group] = [now + COUNT_CACHE_S, account.waiting()]
         return self._waiting[group][1]
 
     def usage(self, number):
-        """What this controller knows of a tenant, and of nobody else."""
+        """Returns an encoded summary of what this controller knows about one tenant."""
         node = self._node
         entry = self.table.entry(number)
         teams = {}
@@ -204,11 +225,11 @@
                 if held is not None:
                     teams[team.name] = [*held.held, held.tasks, len(held.jobs), held.waiting()]
             rows = node.risk.rows_of(jobs, self._time_of_day())
-        warden = node.member.joined and node.member.term.warden(str(number)) == node.label
+        is_quota_leader = node.member.joined and node.member.term.warden(str(number)) == node.label
         return messages.encode(
             {
                 "teams": teams,
                 "classes": rows,
-                "warden": bool(warden and node.book.quota.knows_all(str(number))),
+                "warden": bool(is_quota_leader and node.book.quota.knows_all(str(number))),
             }
         )
--- a/roadhead/tenants/ids.py
+++ b/roadhead/tenants/ids.py
@@ -1,10 +1,10 @@
-"""Tenants' own job ids and team names, and the ids and names that the service uses for them.
+"""Converts tenants' own job ids and team names to and from the ids and names inside the service.
 
-Both ways are one to one, need no look-up and no write. The protocol gives an id 30 digits: five
-for the tenant's number, which is never given twice, and 25 for the tenant's own id, read as a
-number in bijective base 39. 25 digits hold all texts of up to 15 of 39 characters.
+Both mappings are one to one and need neither lookups nor writes. The protocol allows 30 digits in a job id:
+five for the tenant's number, which is never reused, and 25 for the tenant's own id, read as a number in
+bijective base 39. 25 digits hold all texts of up to 15 characters from an alphabet of 39.
 
-All jobs of a tenant lie next to one another in the state service, under `prefix(number)`.
+All jobs of a tenant are adjacent in the state service, under `prefix(number)`.
 """
 
 import re
@@ -16,27 +16,27 @@
 ID_DIGITS = 25
 MOST_TENANTS = 10**NUMBER_DIGITS - 1
 OWN_ID = re.compile(r"[a-z0-9._-]{1,15}\Z")
-VALUES = {letter: value for value, letter in enumerate(ALPHABET, 1)}
-LETTERS = dict(enumerate(ALPHABET, 1))
+LETTER_VALUES = {letter: value for value, letter in enumerate(ALPHABET, 1)}
+VALUE_LETTERS = dict(enumerate(ALPHABET, 1))
 
 
 def prefix(number):
-    """What the protocol's ids of all jobs of a tenant begin with."""
+    """Returns the common prefix of the protocol ids of all jobs of a tenant."""
     return f"req-{number:0{NUMBER_DIGITS}d}"
 
 
 def to_job(number, own):
-    """The protocol's id of a tenant's job. Raises ValueError for an id that can't be one."""
+    """Returns the protocol id of a tenant's job. Raises ValueError if `own` is not a valid job id."""
     if not OWN_ID.match(own):
         raise ValueError("a job id has 1 to 15 characters of a-z, 0-9, '-', '_' and '.'")
     value = 0
     for letter in own:
-        value = value * BASE + VALUES[letter]
+        value = value * BASE + LETTER_VALUES[letter]
     return f"{prefix(number)}{value:0{ID_DIGITS}d}"
 
 
 def from_job(job_id):
-    """(tenant's number, its own id) of an id of the protocol's form; None if no tenant has it."""
+    """Returns (tenant number, own id) for a protocol id, or None if it belongs to no tenant."""
     digits = job_id.removeprefix("req-")
     if len(digits) != NUMBER_DIGITS + ID_DIGITS or not digits.isdigit():
         return None
@@ -46,17 +46,17 @@
         value, letter = divmod(value, BASE)
         if not letter:
             value, letter = value - 1, BASE
-        letters.append(LETTERS[letter])
+        letters.append(VALUE_LETTERS[letter])
     own = "".join(reversed(letters))
     return (number, own) if OWN_ID.match(own) else None
 
 
 def to_team(number, team):
-    """The name by which the service knows a tenant's team."""
+    """Returns the service's name for a tenant's team."""
     return f"{number}/{team}"
 
 
 def from_team(name):
-    """(tenant's number, its own name of the team), or (None, name) where there are no tenants."""
+    """Returns (tenant number, own team name), or (None, name) in a deployment without tenants."""
     number, slash, team = name.partition("/")
     return (int(number), team) if slash and number.isdigit() else (None, name)
--- a/roadhead/tenants/preemption.py
+++ b/roadhead/tenants/preemption.py
@@ -1,11 +1,12 @@
-"""A team gets its guarantee back: borrowed work is stopped, the least of it that does (PROTOCOL, Preemption).
-
-Whoever owns tasks that wait within their team's guarantee asks, after a short patience, the
-owners that hold the most borrowed work, each for a part. An owner stops only work beyond its own
-teams' guarantees, of those furthest ahead of their weight first, and of theirs what loses the
-least: what has not begun, what can save, what ran shortest. The room that comes free is granted
-like any other; the guaranteed work is first in the queue order, so it does not go back to
-whom it was taken from. Nothing else is preempted, so nothing is stopped in turn.
+"""Preemption: stops borrowed work so that teams get their guarantees back (PROTOCOL, Preemption).
+
+The owner of tasks that have waited within their team's guarantee for a short time asks the owners that hold
+the most borrowed resources to free a part each. Such an owner stops only work beyond its own teams'
+guarantees: first of the teams that are furthest ahead of their weight, and within a team what loses the
+least, that is tasks not yet running, tasks that can save their state, then those that ran shortest.
+
+Freed capacity is granted as usual. Guaranteed work is first in the queue order, so the capacity doesn't
+return to the team that it was taken from. Nothing else is preempted, so preemptions don't cascade.
 """
 
 import logging
@@ -16,71 +17,74 @@
 
 log = logging.getLogger("roadhead.preemption")
 
-ROWS_MOST = 64
+MAX_RECLAIM_ROWS = 64
 
 
 class Preemption:
-    """`patience_s` passes before room is asked back, `settle_s` before it is asked for again."""
+    """Asks for guaranteed resources of waiting tasks, and stops borrowed work when asked.
+
+    Tasks wait `patience_s` before resources are reclaimed, and `settle_s` before they are reclaimed again.
+    """
 
-    def __init__(self, loop, member, book, sharing, send, counters, again, patience_s, settle_s):
+    def __init__(self, loop, member, book, sharing, send, counters, schedule_pass, patience_s, settle_s):
         self._loop = loop
         self._member = member
         self._book = book
         self._sharing = sharing
         self._send = send
         self._count = counters.add
-        self._again = again  # () -> None: look at what waits once more
+        self._schedule_pass = schedule_pass  # () -> None: schedules another placing pass
         self._patience_s = patience_s
         self._settle_s = settle_s
         self._borrowed = {}  # label -> (cpus, gpus, memory) that its jobs hold beyond guarantees
-        self._since = {}  # job -> since when tasks of it wait within the guarantee
-        self._asked = {}  # job -> (until, tasks for which room was asked back)
+        self._waiting_since = {}  # job -> when its tasks began to wait within the guarantee
+        self._reclaimed = {}  # job -> (when to ask again, tasks whose resources were reclaimed)
         self._timer = None
-        self._stopping = {}  # (job, index, attempt) -> until when it is taken for on its way out
+        self._stopping = {}  # (job, index, attempt) -> time until which it counts as being stopped
 
-    # Whoever waits
+    # Owner of waiting tasks
 
     def waits(self, jobs):
-        """After a placing pass: jobs with tasks that wait within their teams' guarantees."""
+        """Takes the jobs whose tasks still wait within their guarantees after a placing pass."""
         now = self._loop.now()
         waiting = set(jobs)
-        self._since = {job: self._since.get(job, now) for job in waiting}
-        self._asked = {job: asked for job, asked in self._asked.items() if job in waiting}
+        self._waiting_since = {job: self._waiting_since.get(job, now) for job in waiting}
+        self._reclaimed = {job: asked for job, asked in self._reclaimed.items() if job in waiting}
         rows = {}
         soonest = None
         parts = [Part(job, job.sure, job.rank, job.place, startable=True) for job in jobs]
         SharedHeadroom(self._book.quota).share(parts)
         for part in parts:
             job = part.job
-            left = self._since[job] + self._patience_s - now
+            left = self._waiting_since[job] + self._patience_s - now
             if left > 1e-6:
                 soonest = left if soonest is None else min(soonest, left)
                 continue
-            until, tasks = self._asked.get(job, (0.0, 0))
-            # Room that its team's limit keeps from being used is left to those who borrow it.
+            until, tasks = self._reclaimed.get(job, (0.0, 0))
+            # Tasks that their team's limit keeps from starting are not counted; borrowers keep that capacity.
             count = part.within - (tasks if until > now else 0)
             if count <= 0:
                 continue
-            self._asked[job] = (now + self._settle_s, part.within)
+            self._reclaimed[job] = (now + self._settle_s, part.within)
             spec = job.spec
             key = (*job.need, spec.spot, spec.zone or "", tuple(spec.types or ()))
             rows[key] = rows.get(key, 0) + count
         if soonest is not None and self._timer is None:
-            self._timer = self._loop.call_later(soonest, self._look_again)
+            self._timer = self._loop.call_later(soonest, self._on_timer)
         if rows:
-            self._ask(list(rows.items())[:ROWS_MOST])
+            self._send_reclaims(list(rows.items())[:MAX_RECLAIM_ROWS])
 
-    def _look_again(self):
+    def _on_timer(self):
         self._timer = None
-        self._again()
+        self._schedule_pass()
 
-    def _ask(self, rows):
-        """Each owner is asked for what it has, the one that borrows most first."""
+    def _send_reclaims(self, rows):
+        """Sends reclaim requests, to the owner that borrows most first."""
         left = dict(self._borrowed)
         parts = {}
         for (*need, spot, zone, types), count in rows:
             for label in sorted(left, key=lambda label: left[label], reverse=True):
-                # Owners tell of all they borrow; part of it may be on machines that do not fit.
+                # Owners report all that they borrow; part of it may be on machines that don't fit.
                 part = min(count, times(need, left[label]))
                 if part > 0:
                     parts.setdefault(label, []).append((*need, part, spot, zone, list(types)))
@@ -94,13 +98,14 @@
             self._count("reclaims")
             self._send(label, frames.Reclaim(own))
 
-    # Whoever has borrowed
+    # Owner of borrowed work
 
     def on_borrowed(self, label, frame):
+        """Takes another owner's report of what it borrows."""
         self._borrowed[label] = (frame.cpus, frame.gpus, frame.memory)
 
     def tell(self):
-        """With each beat: what is borrowed here."""
+        """Broadcasts what is borrowed here, with each heartbeat."""
         total = NOTHING
         for group in self._book.accounts.groups():
             for team in self._book.accounts.get(group).teams:
@@ -113,14 +118,16 @@
         self._stopping = {key: until for key, until in self._stopping.items() if until > now}
 
     def on_reclaim(self, frame):
-        """Stops borrowed work until each row's tasks would fit in its room."""
+        """Stops borrowed work until the tasks of each row would fit into what it frees."""
         victims = self._victims()
         for *need, count, spot, zone, types in frame.rows:
-            self._free(tuple(need), count, spot, zone, types, victims)
+            self._free_capacity(tuple(need), count, spot, zone, types, victims)
 
     def _victims(self):
-        """[(team, job, index, binding)]: tasks of teams that borrow, in the order in which
-        they are to be stopped."""
+        """Returns the tasks of borrowing teams in the order in which to stop them.
+
+        Each is a (team, job, index, binding).
+        """
         accounts = self._book.accounts
         found = []
         now = self._loop.now()
@@ -133,12 +140,12 @@
                     for index, binding in job.bound.items():
                         key = (job.id, index, binding.attempt)
                         if binding.held and self._stopping.get(key, 0.0) <= now:
-                            found.append((-ahead, self._loss(job, binding), team, job, index, binding))
+                            found.append((-ahead, self._lost_cpu_s(job, binding), team, job, index, binding))
         found.sort(key=lambda entry: entry[:2])
-        return [(team, job, index, binding) for _ahead, _loss, team, job, index, binding in found]
+        return [(team, job, index, binding) for _ahead, _lost_cpu_s, team, job, index, binding in found]
 
-    def _loss(self, job, binding):
-        """CPU seconds that stopping the task throws away."""
+    def _lost_cpu_s(self, job, binding):
+        """Returns the CPU seconds of work lost by stopping the task."""
         if binding.status != "running":
             return 0.0
         ran_s = self._loop.now() - binding.at
@@ -146,8 +153,8 @@
         return spec.cpus * (min(ran_s, spec.save_s) if spec.checkpoint_s > 0 else ran_s)
 
     @staticmethod
-    def _on_fitting(job, binding, spot, zone, types):
-        """Whether the task's machine would surely do: its own job asked for no less."""
+    def _is_fitting_machine(job, binding, spot, zone, types):
+        """Returns whether the task's machine certainly fits the request: its own job asked for no less."""
         spec = job.spec
         return (
             (spot or not spec.spot)
@@ -155,40 +162,43 @@
             and (not types or (spec.types is not None and set(spec.types) <= set(types)))
         )
 
-    def _free(self, need, count, spot, zone, types, victims):
-        left = {}  # team -> what it holds beyond its guarantee
+    def _free_capacity(self, need, count, spot, zone, types, victims):
+        left = {}  # team -> resources that it still holds beyond its guarantee
         while count > 0:
             by_machine = {}
             for victim in victims:
-                if self._on_fitting(victim[1], victim[3], spot, zone, types):
+                if self._is_fitting_machine(victim[1], victim[3], spot, zone, types):
                     by_machine.setdefault(victim[3].machine, []).append(victim)
             made = 0
             for tasks in by_machine.values():  # in the order of their first victims
                 if made < count:
-                    made += self._free_on_one(need, tasks, left, victims)
+                    made += self._free_on_machine(need, tasks, left, victims)
             if not made:
                 return
             count -= made
 
-    def _free_on_one(self, need, tasks, left, victims):
-        """Makes room for one task, or more, by stopping some of a machine's; how many would fit."""
+    def _free_on_machine(self, need, tasks, left, victims):
+        """Frees capacity for at least one task by stopping some tasks of one machine.
+
+        Returns how many of the waiting tasks fit there, 0 if nothing was stopped.
+        """
         chosen, room = [], NOTHING
-        taken = {}  # team -> what of it would stop
+        taken = {}  # team -> resources of its tasks that would stop
         for victim in tasks:
             team, job, _index, _binding = victim
-            over = left.setdefault(team, self._sharing.borrowed(team))
-            stops = tuple(map(sum, zip(taken.get(team, NOTHING), job.need, strict=True)))
-            if stops[0] > over[0] + 1e-6 or stops[1] > over[1] + 1e-6:
+            excess = left.setdefault(team, self._sharing.borrowed(team))
+            stopped = tuple(map(sum, zip(taken.get(team, NOTHING), job.need, strict=True)))
+            if stopped[0] > excess[0] + 1e-6 or stopped[1] > excess[1] + 1e-6:
                 continue
-            taken[team] = stops
+            taken[team] = stopped
             chosen.append(victim)
             room = tuple(map(sum, zip(room, job.need, strict=True)))
             if fits(need, room):
                 break
         if not fits(need, room):
-            return 0  # not enough there: nothing of it stops
-        for team, stops in taken.items():
-            left[team] = tuple(part - own for part, own in zip(left[team], stops, strict=True))
+            return 0  # not enough on this machine: none of its tasks stops
+        for team, stopped in taken.items():
+            left[team] = tuple(part - own for part, own in zip(left[team], stopped, strict=True))
         for victim in chosen:
             victims.remove(victim)
             self._stop(*victim[1:])
--- a/roadhead/tenants/records.py
+++ b/roadhead/tenants/records.py
@@ -1,8 +1,8 @@
-"""A tenant's record, its keys, and the changes that may be made to it. Pure values.
+"""A tenant's record, its keys, and its allowed changes. Pure values.
 
-One record a tenant, `c/t/NUMBER`: controllers and gateways learn of every change by the watch
-they have on `c/`. `n/NAME` holds the number of the tenant that has the name, `n/` itself the next
-number. Number 0 is that of the administrators, who have keys and nothing else.
+Each tenant has one record, `c/t/NUMBER`: controllers and gateways notice every change through their watch of
+`c/`. `n/NAME` holds the number of the tenant with that name, and `n/` itself the next free number. Number 0
+belongs to the administrators, who have keys and nothing else.
 """
 
 import math
@@ -14,21 +14,21 @@
 from roadhead.membership.member import TENANT
 
 NAME = "n/"
-NEXT = "n/"  # the key of the next number: no name is empty
+NEXT = "n/"  # key of the next free number; it can't be a name's, as no name is empty
 ADMINISTRATORS = 0
 ACTIVE, SUSPENDED, REMOVING, REMOVED = "active", "suspended", "removing", "removed"
 FINISH, STOP = "finish", "stop"
 TENANT_SCOPES = ("read", "submit", "cancel")
 ADMIN_SCOPES = ("tenants:read", "tenants:write", "keys")
-NAME_FORM = re.compile(r"[a-z][a-z0-9-]{0,38}[a-z0-9]\Z")
-TEAM_FORM = re.compile(r"[a-z0-9][a-z0-9._-]{0,38}\Z")
-KEYS_MOST = 16
-TEAMS_MOST = 40
-REQUESTS_KEPT = 8  # of the administrators' request keys, so that a repeated change is known
+NAME_PATTERN = re.compile(r"[a-z][a-z0-9-]{0,38}[a-z0-9]\Z")
+TEAM_PATTERN = re.compile(r"[a-z0-9][a-z0-9._-]{0,38}\Z")
+MAX_KEYS = 16
+MAX_TEAMS = 40
+MAX_REQUESTS_KEPT = 8  # latest idempotency keys kept in a record to recognize repeated changes
 
 
 class Contradiction(Exception):
-    """A record that can't be; one line per fault in `faults`."""
+    """A record violates a constraint. `faults` has one line per violation; they are sent to the client."""
 
     def __init__(self, faults):
         super().__init__("; ".join(faults))
@@ -59,8 +59,11 @@
 
 
 class Key(Struct, omit_defaults=True):
-    """An access key: only its keyed digest is kept. `until`: time of day, 0 for no end; `request`:
-    the request key that made it, by which the same request finds it again."""
+    """An access key; only its keyed digest is stored.
+
+    `until`: time of day when it expires, 0 for never; `request`: the idempotency key of the request that made
+    it, by which a repeated request finds it.
+    """
 
     id: int
     digest: str
@@ -71,8 +74,11 @@
 
 
 class Tenant(Struct, omit_defaults=True):
-    """`version` counts the changes; `running` says what becomes of running work while suspended;
-    `requests` holds the request keys of the latest changes and the versions that they made."""
+    """A tenant.
+
+    `version` counts the changes; `running` says what happens to running work while suspended; `requests` maps
+    the idempotency keys of the latest changes to the versions they made.
+    """
 
     number: int
     name: str
@@ -87,22 +93,23 @@
     requests: dict[str, int] = field(default_factory=dict)
 
     def team(self, name):
+        """Returns the Team of that name, or None."""
         return next((team for team in self.teams if team.name == name), None)
 
     def check(self):
-        """Raises Contradiction."""
+        """Raises Contradiction if the record violates a constraint."""
         faults = []
-        if not NAME_FORM.match(self.name):
+        if not NAME_PATTERN.match(self.name):
             faults.append("name: 2 to 40 characters of a-z, 0-9 and '-', a letter first")
-        if len(self.teams) > TEAMS_MOST:
-            faults.append(f"teams: at most {TEAMS_MOST}")
+        if len(self.teams) > MAX_TEAMS:
+            faults.append(f"teams: at most {MAX_TEAMS}")
         amounts = [("weight", self.weight)] + [
             (f"limits.{name}", getattr(self.limits, name)) for name in Limits.__struct_fields__
         ]
         names = set()
         for team in self.teams:
             where = f"teams.{team.name[:40]}"
-            if not TEAM_FORM.match(team.name):
+            if not TEAM_PATTERN.match(team.name):
                 faults.append(f"{where}: a name has 1 to 39 characters of a-z, 0-9, '.', '_' and '-'")
             if team.name in names:
                 faults.append(f"{where}: stands twice")
@@ -119,6 +126,7 @@
             raise Contradiction(faults)
 
     def _contradictions(self):
+        """Yields violations between fields that are valid on their own."""
         for kind in ("cpus", "gpus"):
             most = getattr(self.limits, kind)
             sure = 0.0
@@ -133,11 +141,14 @@
             yield "limits.submissions: must be above 0"
 
     def to_record(self):
+        """Returns the record as built-in types."""
         return msgspec.to_builtins(self)
 
     def fitting(self, largest):
-        """A version whose record takes at most `largest` bytes as JSON: itself, or without what is only
-        remembered for repeated requests. Raises Contradiction."""
+        """Returns a version whose record takes at most `largest` bytes as JSON.
+
+        That is this version, or one without the idempotency keys. Raises Contradiction if neither fits.
+        """
         for version in (self, msgspec.structs.replace(self, requests={})):
             size = len(msgspec.json.encode(version))
             if size <= largest:
@@ -147,37 +158,40 @@
         )
 
     def changed(self, request=None, **fields):
-        """The next version."""
+        """Returns the next version, with `fields` replaced."""
         requests = dict(self.requests)
         if request:
             requests[request] = self.version + 1
-            for old in list(requests)[:-REQUESTS_KEPT]:
+            for old in list(requests)[:-MAX_REQUESTS_KEPT]:
                 del requests[old]
         return msgspec.structs.replace(self, version=self.version + 1, requests=requests, **fields)
 
     # Keys
 
     def key(self, number, now):
-        """The key of that id if it is good now."""
+        """Returns the key of that id if it is valid at `now`, else None."""
         for key in self.keys:
             if key.id == number and (not key.until or now < key.until):
                 return key
         return None
 
     def with_key(self, digest, scopes, label, now, request=None):
-        """(next version, key): keys whose time is over make room."""
+        """Returns (next version, new Key).
+
+        Expired keys are dropped. Raises Contradiction if there are too many keys.
+        """
         keys = [key for key in self.keys if not key.until or now < key.until]
-        if len(keys) >= KEYS_MOST:
-            raise Contradiction([f"keys: at most {KEYS_MOST}"])
+        if len(keys) >= MAX_KEYS:
+            raise Contradiction([f"keys: at most {MAX_KEYS}"])
         key = Key(self.next_key, digest, scopes, label, request=request or "")
         return self.changed(request, keys=[*keys, key], next_key=self.next_key + 1), key
 
     def key_of_request(self, request):
-        """The key that a request made, if it was made before."""
+        """Returns the key that a request with this idempotency key made earlier, or None."""
         return next((key for key in self.keys if request and key.request == request), None)
 
     def ending_key(self, number, until, request=None):
-        """The next version, in which a key ends at `until` at the latest; 0 revokes it at once."""
+        """Returns the next version, in which a key expires at `until` at the latest; 0 revokes it at once."""
         keys = []
         for key in self.keys:
             if key.id == number:
@@ -188,7 +202,7 @@
         return self.changed(request, keys=keys)
 
 
-# What may follow what: a transition that is not named here is refused.
+# Allowed state transitions: action -> (states it starts from, resulting state). All others are refused.
 TRANSITIONS = {
     "suspend": ((ACTIVE, SUSPENDED), SUSPENDED),
     "resume": ((ACTIVE, SUSPENDED), ACTIVE),
@@ -198,7 +212,7 @@
 
 
 def transit(tenant, verb, request=None, running=FINISH):
-    """The tenant after `verb`, itself if it is there already; None if that may not follow."""
+    """Returns the tenant after `verb`, or `tenant` itself if nothing changes; None if it is not allowed."""
     allowed, state = TRANSITIONS[verb]
     if tenant.state not in allowed:
         return None
@@ -207,7 +221,7 @@
     if verb == "suspend":
         return tenant.changed(request, state=state, running=running)
     if verb == "bury":
-        # The tombstone: the number and the name stay, everything else goes.
+        # The tombstone keeps the number and the name; everything else is dropped.
         return Tenant(tenant.number, tenant.name, REMOVED, tenant.version + 1)
     if verb == "remove":
         return tenant.changed(request, state=state, keys=[])
@@ -215,7 +229,7 @@
 
 
 def from_record(record):
-    """A tenant from its stored record; fields that a newer version wrote are ignored."""
+    """Decodes a stored record; fields written by newer versions are ignored."""
     teams = [
         {name: team[name] for name in Team.__struct_fields__ if name in team}
         for team in record.get("teams", ())
@@ -227,4 +241,5 @@
 
 
 def key_of(number):
+    """Returns the state service key of a tenant's record."""
     return f"{TENANT}{number:05d}"
--- a/roadhead/tenants/removal.py
+++ b/roadhead/tenants/removal.py
@@ -1,13 +1,13 @@
-"""A tenant goes: what follows its record's state `removing`, step by step, by any survivor.
+"""Removes a tenant whose record is in state `removing`, step by step; any controller can continue.
 
-Admission ended with the compare-and-set that made it so, since each creation holds only under the
-record's stamp. What is left to do is read from the state service each time anew, so that whoever
-takes over needs to be told nothing:
+No job can be created any more: each creation requires the unchanged stamp of the tenant's record, which the
+change to `removing` replaced. Every step reads what is left to do from the state service, so a controller
+that takes over needs no other information:
 
 1. every open job is cancelled, many in one transaction;
-2. once `cancel_s` has passed since none was open, none of its tasks is on a machine;
-3. its records go, in bounded pieces;
-4. the tombstone takes the record's place.
+2. once no job has been open for `cancel_s`, none of the tenant's tasks is on a machine;
+3. its records are deleted in bounded batches;
+4. a tombstone replaces the tenant's record.
 """
 
 import logging
@@ -23,65 +23,71 @@
 
 log = logging.getLogger("roadhead.removal")
 
-WRITES_PART = 0.5  # of a controller's writes a second that removals take at the most
-SPARE = 0.5  # of the burst of writes must be left
-MARGIN = 1.2  # of `cancel_s`, for clocks and for what was told last
+WRITES_FRACTION = 0.5  # largest fraction of a controller's write rate for removals
+SPARE_BURST_FRACTION = 0.5  # fraction of the write burst that must be left after deletes
+CANCEL_MARGIN = 1.2  # factor on `cancel_s`, for clock drift and for cancellations announced last
 
 
 class Removal:
+    """Carries out the removals that fall to this controller."""
+
     def __init__(self, loop, node, table):
         self._loop = loop
         self._node = node
         self._state = node.state
         self._table = table
         self._cancel_s = node.settings.deployment.workers.cancel_s
-        # Of a transaction; a cancellation takes two writes.
-        self._most = max(1, (self._state.batch - 1) // 2)
+        # Largest number of jobs in a transaction; a cancellation takes two writes.
+        self._max_jobs = max(1, (self._state.batch - 1) // 2)
         self._wake = Signal()
-        # Tenants that are to go, whoever carries it out.
-        self._going = {number for number, entry in table.entries.items() if entry.tenant.state == REMOVING}
-        self._quiet_since = {}  # tenant's number -> since when none of its jobs was open
+        # Tenants to remove, by any controller.
+        self._to_remove = {
+            number for number, entry in table.entries.items() if entry.tenant.state == REMOVING
+        }
+        self._quiet_since = {}  # tenant's number -> time since which none of its jobs has been open
 
     def note(self, tenant):
         """A tenant's record changed."""
         if tenant.state == REMOVING:
-            self._going.add(tenant.number)
+            self._to_remove.add(tenant.number)
             self._wake.set()
         else:
-            self._going.discard(tenant.number)
+            self._to_remove.discard(tenant.number)
 
     def wake(self):
-        """The members changed: somebody else's removal may be ours now."""
+        """The members changed, so other removals may fall to this controller."""
         self._wake.set()
 
-    def _mine(self):
+    def _assigned(self):
+        """Returns the tenants whose removal falls to this controller, by hash over the members."""
         member = self._node.member
         return [
             number
-            for number in sorted(self._going)
+            for number in sorted(self._to_remove)
             if pick(member.term.members, f"removal {number}") == member.label
         ]
 
     async def run(self):
-        """The duty: one piece of each removal that falls to this controller, again and again."""
+        """Periodic duty: repeatedly does one step of each removal that falls to this controller."""
         writes = self._state.writes
         while True:
-            mine = self._mine() if self._node.member.joined else []
-            if not mine:
+            assigned = self._assigned() if self._node.member.joined else []
+            if not assigned:
                 await self._wake.wait(self._loop, self._cancel_s)
                 continue
-            for number in mine:
+            for number in assigned:
                 entry = self._table.entry(number)
                 spent = 0
                 try:
-                    spent = await self._piece(entry)
+                    spent = await self._step(entry)
                 except (Unavailable, Unsure) as error:
                     log.debug("removal of tenant %d: %r", number, error)
                 except Conflict:
                     await self._read(number)
-                await self._loop.sleep(max(0.25, spent / (WRITES_PART * writes.rate)))
+                await self._loop.sleep(max(0.25, spent / (WRITES_FRACTION * writes.rate)))
 
     async def _read(self, number):
+        """Refreshes the tenant's record in the table."""
         try:
             record, stamp = await self._state.get(key_of(number))
         except (Unavailable, Unsure):
@@ -89,28 +95,28 @@
         if record is not None:
             self._table.take(key_of(number), record, stamp)
 
-    async def _piece(self, entry):
-        """Takes one step further; returns the writes that it took."""
+    async def _step(self, entry):
+        """Does one step of a removal. Returns the number of writes it took."""
         tenant = entry.tenant
-        still_open = await self._some(KEY, tenant.number, lambda record: record["s"] not in FINAL)
+        still_open = await self._find_items(KEY, tenant.number, lambda record: record["s"] not in FINAL)
         if still_open:
             self._quiet_since.pop(tenant.number, None)
             return await self._cancel(entry, still_open)
         since = self._quiet_since.setdefault(tenant.number, self._loop.now())
-        if self._loop.now() - since < MARGIN * self._cancel_s:
+        if self._loop.now() - since < CANCEL_MARGIN * self._cancel_s:
             return 0
         for place in (KEY, SHELF, CANCEL):
-            items = await self._some(place, tenant.number, lambda record: True)
+            items = await self._find_items(place, tenant.number, lambda record: True)
             if items:
                 return await self._drop(entry, items)
         return await self._bury(entry)
 
-    async def _some(self, place, number, wanted):
-        """Items of the tenant's jobs under a prefix, of the first page that has any wanted."""
+    async def _find_items(self, place, number, wanted):
+        """Returns matching items of the tenant's jobs under a prefix, from the first page that has any."""
         after, more = "", True
         while more:
             items, more, _revision = await self._state.page(place + ids.prefix(number), after)
-            # Ids of another length are not a tenant's: they were there before there were tenants.
+            # Ids of another length belong to no tenant: they date from before the deployment had tenants.
             found = [
                 item for item in items if wanted(item[1]) and ids.from_job(item[0][len(place) :]) is not None
             ]
@@ -120,8 +126,11 @@
         return []
 
     async def _cancel(self, entry, items):
-        """As a user's cancellation, many at once; what changed meanwhile is read again."""
-        items = items[: self._most]
+        """Cancels jobs as users do, many in one transaction.
+
+        Records that changed meanwhile are read again in a later step.
+        """
+        items = items[: self._max_jobs]
         writes = []
         for key, record, _stamp in items:
             job_id = key[len(KEY) :]
@@ -130,7 +139,7 @@
         try:
             await self._state.multi([(key, stamp) for key, _record, stamp in items], writes)
         except Conflict:
-            return len(writes)  # progress was written meanwhile
+            return len(writes)  # a job's owner wrote progress meanwhile
         jobs = [key[len(KEY) :] for key, _record, _stamp in items]
         for job_id in jobs:
             self._node.book.cancelled(job_id)
@@ -139,10 +148,11 @@
         return len(writes)
 
     async def _drop(self, entry, items):
-        if not self._state.writes.spare(SPARE):
+        """Deletes records, while the state service confirms that the tenant is being removed."""
+        if not self._state.writes.spare(SPARE_BURST_FRACTION):
             return 0
-        items = items[: self._most]
-        # Only while the tenant is being removed, by the record itself: never on hearsay.
+        items = items[: self._max_jobs]
+        # The condition on the tenant's record proves the state `removing`; the local table may be outdated.
         await self._state.multi(
             [(key_of(entry.tenant.number), entry.stamp), *((key, stamp) for key, _, stamp in items)],
             [{"drop": key} for key, _record, _stamp in items],
@@ -150,6 +160,7 @@
         return len(items)
 
     async def _bury(self, entry):
+        """Replaces the tenant's record by a tombstone."""
         tenant = transit(entry.tenant, "bury")
         revision = await self._state.multi(
             [(key_of(tenant.number), entry.stamp)],
@@ -157,5 +168,5 @@
         )
         self._table.take(key_of(tenant.number), tenant.to_record(), revision)
         self._quiet_since.pop(tenant.number, None)
-        log.info("tenant %d is gone", tenant.number)
+        log.info("tenant %d removed", tenant.number)
         return 1
--- a/roadhead/tenants/settings.py
+++ b/roadhead/tenants/settings.py
@@ -1,4 +1,4 @@
-"""The operators' file that turns a deployment into a hosted one: TOML, checked before use."""
+"""Settings of a multi-tenant ("hosted") deployment: a TOML file that is validated before use."""
 
 import os
 
@@ -7,11 +7,11 @@
 
 from roadhead.settings import LaterLimits, SettingsError, StateLimits, address_fault, state_faults
 
-SECRET_LEAST = 32  # bytes of the master secret
+MIN_SECRET_BYTES = 32  # smallest size of the master secret in bytes
 
 
 class Gateway(Struct, forbid_unknown_fields=True):
-    """Where tenants and administrators reach a gateway, and the most connections of each."""
+    """Addresses of a gateway's two APIs, and the largest number of connections to each."""
 
     tenants: str
     administration: str
@@ -19,8 +19,10 @@
 
 
 class Cluster(Struct, forbid_unknown_fields=True):
-    """What a gateway must know of the deployment: the state service with its limits, and the
-    controllers' fronts by their labels."""
+    """What a gateway must know about the deployment.
+
+    That is the state service with its limits, and the controllers' HTTP addresses by label.
+    """
 
     state: str
     rps: float
@@ -32,11 +34,14 @@
 
 
 class Hosted(Struct, forbid_unknown_fields=True):
-    """`slots`: wardens that tenants are spread over; `state_share`: the part of the state service's
-    limits that is the gateways', of whom there are up to `gateways`; `stale_s`: how long a process
-    that hears nothing of changes goes on by what it last knew; `overlap_s`: how long a rotated key
-    stays good unless the call says otherwise; `preempt`: whether borrowed work is stopped to give a
-    guarantee back, after a `patience` of so many report intervals."""
+    """Settings of a multi-tenant deployment.
+
+    `slots`: quota partitions that tenants are spread over; `state_share`: fraction of the state service's
+    limits reserved for all gateways, of which there are up to `gateways`; `stale_s`: how long a process
+    relies on its last known tenant records without hearing of changes; `overlap_s`: how long a rotated key
+    stays valid by default; `preempt`: whether borrowed work is stopped to give guarantees back, after a
+    `patience` of so many report intervals.
+    """
 
     secret_file: str
     gateway: Gateway
@@ -51,18 +56,18 @@
     master: bytes = field(default=b"")
 
     def left_of(self, limits):
-        """The state service's limits for the controllers."""
+        """Returns the part of the state service's limits that is left for the controllers."""
         return limits.scaled(1.0 - self.state_share)
 
     def gateway_limits(self):
-        """The part of one gateway."""
+        """Returns the part of the state service's limits for one gateway."""
         cluster = self.cluster
         limits = StateLimits(cluster.rps, cluster.write_rps, cluster.value_kb, cluster.txn_ops, cluster.next)
         return limits.scaled(self.state_share / self.gateways)
 
 
 def parse(data):
-    """Hosted settings from the bytes of a TOML file, without the secret. Raises SettingsError."""
+    """Returns Hosted settings from the bytes of a TOML file, without the secret. Raises SettingsError."""
     try:
         hosted = msgspec.toml.decode(data, type=Hosted)
     except (msgspec.DecodeError, ValueError) as error:
@@ -78,11 +83,11 @@
         faults += address_fault(name, address)
     fronts = list(hosted.cluster.controllers.values())
     if not fronts:
-        faults.append("cluster.controllers: none")
+        faults.append("cluster.controllers: at least one is required")
     if len(set(fronts)) != len(fronts):
-        faults.append("cluster.controllers: an address stands twice")
+        faults.append("cluster.controllers: addresses must be distinct")
     if hosted.gateway.tenants == hosted.gateway.administration:
-        faults.append("gateway.administration: the tenants' address")
+        faults.append("gateway.administration: must differ from gateway.tenants")
     for name, value, most in (
         ("slots", hosted.slots, 200),
         ("state_share", hosted.state_share, 0.5),
@@ -107,14 +112,14 @@
         )
     ]
     if hosted.master:
-        faults.append("master: belongs into secret_file")
+        faults.append("master: not allowed here, belongs in the file named by secret_file")
     if faults:
         raise SettingsError(faults)
     return hosted
 
 
 def load(path):
-    """Hosted settings with their master secret. Raises SettingsError."""
+    """Returns Hosted settings with their master secret. Raises SettingsError."""
     try:
         with open(path, "rb") as file:
             hosted = parse(file.read())
@@ -128,6 +133,6 @@
             hosted.master = file.read().strip()
     except OSError as error:
         raise SettingsError([f"{path}: secret_file: {error.strerror}"]) from None
-    if len(hosted.master) < SECRET_LEAST:
-        raise SettingsError([f"{path}: secret_file: must hold {SECRET_LEAST} bytes at least"])
+    if len(hosted.master) < MIN_SECRET_BYTES:
+        raise SettingsError([f"{path}: secret_file: must contain at least {MIN_SECRET_BYTES} bytes"])
     return hosted
--- a/roadhead/tenants/table.py
+++ b/roadhead/tenants/table.py
@@ -1,4 +1,4 @@
-"""All tenants known here: a persistent map, so that a reader keeps the snapshot it began with."""
+"""The table of all known tenants: a persistent map, so that readers keep a consistent snapshot."""
 
 import logging
 
@@ -12,8 +12,10 @@
 
 
 class Entry:
-    """A tenant with the stamp of its record, by which transactions are guarded, and its teams by
-    their names in the service."""
+    """A tenant with the stamp of its record, which guards transactions.
+
+    `teams` maps the service's names of its teams to them.
+    """
 
     __slots__ = ("stamp", "teams", "tenant")
 
@@ -24,31 +26,32 @@
 
 
 class Table:
-    """`on_change(old, new)` is told of each change, with entries or None."""
+    """Holds the newest known record of each tenant. `on_change(old, new)` is called with entries or None."""
 
     def __init__(self, on_change=lambda old, new: None):
         self._on_change = on_change
         self.entries = immutables.Map()  # number -> Entry
 
     def take(self, key, record, stamp):
-        """A record read or heard of; an older one than is known changes nothing."""
+        """Takes a record that was read or received from a watch, unless it is older than the known one."""
         old = self.entries.get(int(key[len(TENANT) :]))
         if old is not None and stamp <= old.stamp:
             return
         try:
             entry = Entry(from_record(record), stamp)
         except (msgspec.ValidationError, KeyError, TypeError) as error:
-            log.error("record %s is not a tenant's: %s", key, error)
+            log.error("record %s is not a valid tenant: %s", key, error)
             return
         tenant = entry.tenant
         self.entries = self.entries.set(tenant.number, entry)
         self._on_change(old, entry)
 
     def entry(self, number):
+        """Returns the Entry of the tenant with that number, or None."""
         return self.entries.get(number)
 
     def team(self, name):
-        """(Entry, Team) of a team by its name in the service, or (None, None)."""
+        """Returns (Entry, Team) by the service's name for a team, or (None, None)."""
         number, _own = ids.from_team(name)
         entry = self.entries.get(number) if number is not None else None
         return (entry, entry.teams.get(name)) if entry is not None else (None, None)
--- a/roadhead/tenants/teams.py
+++ b/roadhead/tenants/teams.py
@@ -1,9 +1,8 @@
-"""The teams of tenants: their limits and, of what waits, whose turn it is.
+"""Limits of tenants' teams, and fair sharing between them.
 
-All of a tenant's jobs are owned by one controller, its warden, so what it holds is known
-exactly there. The order below becomes each job's place in the queue, which controllers tell with
-their demand and by which homes grant: so shares hold over all controllers, as closely as the
-demand told is fresh.
+All jobs of a tenant are owned by one controller, its quota leader, so its usage is known exactly there. The
+order computed here sets each job's queue position. Controllers broadcast that with their demand, and shard
+leaders grant by it: so shares hold across controllers, as closely as the broadcast demand is current.
 """
 
 import heapq
@@ -13,15 +12,15 @@
 from roadhead.tenants import ids
 from roadhead.tenants.records import ACTIVE, REMOVED, STOP, SUSPENDED
 
-EVERYTHING = 1 << 30
-QUANTUM = 1 / 64  # of the fleet, by which one who borrows may get ahead of the next in a round
-NO_PLACE = float("inf")
-ORDERED_MOST = 2000  # jobs put in order at once, of all groups
-ORDERED_LEAST = 20  # of one group
+UNLIMITED_TASKS = 1 << 30
+QUANTUM = 1 / 64  # fraction of the fleet by which a borrower may get ahead of the next one in a round
+LAST_POSITION = float("inf")
+MAX_ORDERED_JOBS = 2000  # jobs ordered per round, of all groups
+MIN_ORDERED_PER_GROUP = 20  # smallest number of them per group
 
 
 class TenantTeams:
-    """As `FixedTeams`, over the table of tenants."""
+    """Team limits from the table of tenants; the counterpart of `FixedTeams`."""
 
     limited = True
 
@@ -29,19 +28,25 @@
         self._table = table
 
     def get(self, name):
+        """Returns the Team, or None."""
         return self._table.team(name)[1]
 
     def most(self, name):
+        """Returns the (CPU, GPU) limits of the team and of its tenant; 0 is no limit."""
         entry, team = self._table.team(name)
         limits = entry.tenant.limits
         return ((team.cpus_max, team.gpus_max), (limits.cpus, limits.gpus))
 
     def group(self, name):
+        """Returns the team's group: its tenant's number as a text, or None."""
         number, _team = ids.from_team(name)
         return None if number is None else str(number)
 
     def levels(self, name):
-        """None while nothing of the team may start."""
+        """Returns ((name, limits) of the team, the same of its tenant).
+
+        None while nothing of the team may start.
+        """
         entry, team = self._table.team(name)
         if team is None or entry.tenant.state != ACTIVE:
             return None
@@ -52,12 +57,15 @@
         )
 
     def weights(self, name):
-        """(the tenant's, the team's)."""
+        """Returns (the tenant's weight, the team's weight)."""
         entry, team = self._table.team(name)
         return (entry.tenant.weight, team.weight) if team is not None else (1.0, 1.0)
 
     def stopping(self, group):
-        """Whether the running work of a group shall stop: its tenant rests, or goes."""
+        """Returns whether a group's running work must stop.
+
+        That is so if its tenant is removed, or suspended with `running` = `stop`.
+        """
         entry = self._table.entry(int(group))
         if entry is None:
             return False
@@ -66,7 +74,7 @@
 
 
 def dominant(amounts, totals):
-    """The largest part that the amounts are of the fleet's (cpus, gpus, memory)."""
+    """Returns the dominant share of `amounts`: their largest fraction of the fleet's (cpus, gpus, memory)."""
     return max(
         (amount / total if total > 0 else 1.0 if amount > 0 else 0.0)
         for amount, total in zip(amounts, totals, strict=True)
@@ -74,40 +82,40 @@
 
 
 class Sharing:
-    """Who comes first when teams have guarantees and weights.
+    """Orders jobs by guarantees and weights.
 
-    Work within its team's guarantee comes before all that borrows, in its own order. Tenants
-    borrow by weight: the one with the least dominant share of what is borrowed, divided by its
-    weight, comes first, and so do the teams within a tenant (progressive filling). A job that
-    reaches from one into the other is cut in two by `sure`: so many of its tasks are within.
+    Work within its team's guarantee comes before all borrowing work, in its own order. Tenants borrow by
+    weight (progressive filling): first comes the one whose dominant share of borrowed resources, divided by
+    its weight, is the smallest; the teams within a tenant are ordered in the same way. A job that is only
+    partly within the guarantee is split by `sure`, the number of its tasks that are within.
     """
 
     def __init__(self, teams, accounts, totals, base, step):
         self._teams = teams
         self._accounts = accounts
         self._totals = totals  # () -> (cpus, gpus, memory) of the fleet
-        self._base = base  # place at which borrowing begins
-        self._step = step  # places by which a whole fleet's share comes later
+        self._base = base  # queue position at which borrowing begins
+        self._step = step  # queue positions that correspond to a whole fleet's share
 
     def _held(self, name):
         account = self._accounts.get(name)
         return account.held if account is not None else NOTHING
 
     def candidates(self):
-        """Jobs that may come first: of each group some, the most urgent and of those the oldest.
+        """Yields jobs that may come first: of each group some, the most urgent and of those the oldest.
 
-        So an order costs the same however many jobs wait: what is left out comes after these.
+        The limit bounds the cost of ordering, however many jobs wait; jobs left out come after these.
         """
         groups = self._accounts.groups()
-        each = max(ORDERED_LEAST, ORDERED_MOST // max(1, len(groups)))
+        each = max(MIN_ORDERED_PER_GROUP, MAX_ORDERED_JOBS // max(1, len(groups)))
         for group in groups:
             by_rank = chain.from_iterable(self._accounts.get(group).by_rank)
             yield from islice((job for job in by_rank if job.free and job.state == "open"), each)
 
     def borrowed(self, team):
-        """(cpus, gpus, memory) that a team holds beyond its guarantee.
+        """Returns the (cpus, gpus, memory) that a team holds beyond its guarantee.
 
-        Memory is not guaranteed apart: it is borrowed in the measure in which CPUs are.
+        Memory has no guarantee of its own: the same fraction of it counts as borrowed as of the CPUs.
         """
         held = self._held(team)
         known = self._teams.get(team)
@@ -116,15 +124,18 @@
         return (*over, held[2] * (over[0] / held[0] if held[0] > 0 else 1.0))
 
     def ahead(self, team):
-        """How far a team is ahead with what it borrows, by its tenant's weight and its own."""
+        """Returns a team's dominant share of borrowed resources, divided by both weights."""
         tenant, own = self._teams.weights(team)
         return dominant(self.borrowed(team), self._totals()) / (tenant * own)
 
     def arrange(self, jobs):
-        """Sets `place`, `sure` and `part` (tasks that it may start before the next round) of each
-        job with waiting tasks. `jobs` come in the order that they had if nobody shared."""
+        """Sets `place`, `sure` and `part` of each job with waiting tasks.
+
+        `part` is the number of tasks that it may start before the next round. `jobs` come in the order that
+        they would have without sharing.
+        """
         totals = self._totals()
-        left = {}  # team -> (cpus, gpus) of its guarantee that are free
+        left = {}  # team -> unused (cpus, gpus) of its guarantee
         borrowers = {}  # group -> {team: [jobs that borrow, in order]}
         for job in jobs:
             count = job.startable()
@@ -139,36 +150,38 @@
             job.sure = min(count, times(job.need, room))
             left[team] = tuple(free - job.sure * part for free, part in zip(room, job.need, strict=False))
             job.part = job.sure
-            job.later = NO_PLACE
+            job.later = LAST_POSITION
             if job.sure < count:
                 borrowers.setdefault(self._teams.group(team), {}).setdefault(team, []).append(job)
-        queue = []  # (share by weight, group): of each tenant that borrows, its first job
+        queue = []  # (share / weight, weight, first borrowing job) of each borrowing tenant
         for group, teams in borrowers.items():
             share = sum(dominant(self.borrowed(team), totals) for team in self._teams_of(group, teams))
             weight = self._teams.weights(next(iter(teams)))[0]
-            for job, before in self._merged(teams, totals):
+            for job, before in self._merge_by_weight(teams, totals):
                 job.later = self._base + self._step * (share + before) / weight
                 if not before:
                     queue.append((share / weight, weight, job))
         queue.sort(key=lambda entry: entry[0])
         for number, (share, weight, job) in enumerate(queue):
-            ahead = queue[number + 1][0] - share + QUANTUM if number + 1 < len(queue) else NO_PLACE
+            ahead = queue[number + 1][0] - share + QUANTUM if number + 1 < len(queue) else LAST_POSITION
             task = dominant(job.need, totals)
             if job.sure:
-                continue  # what it borrows comes in the next round
-            job.part = EVERYTHING if task <= 0 or ahead == NO_PLACE else max(1, int(ahead * weight / task))
+                continue  # its borrowing tasks start in the next round
+            job.part = (
+                UNLIMITED_TASKS if task <= 0 or ahead == LAST_POSITION else max(1, int(ahead * weight / task))
+            )
         for job in jobs:
             if not job.sure:
                 job.place = job.later
 
     def _teams_of(self, group, teams):
-        """The teams of a group that hold anything, and those that wait."""
+        """Returns the teams of a group that hold resources or have waiting jobs."""
         account = self._accounts.get(group)
         held = account.teams if account is not None else {}
         return [*teams, *(team for team in held if team not in teams)]
 
-    def _merged(self, teams, totals):
-        """(job, dominant share of what comes before it) of one tenant's jobs, its teams by weight."""
+    def _merge_by_weight(self, teams, totals):
+        """Yields (job, dominant share of the jobs before it) of a tenant's jobs, with its teams by weight."""
         heads = []
         for team, jobs in teams.items():
             weight = self._teams.weights(team)[1]
