--- a/roadhead/gateway/__init__.py
+++ b/roadhead/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The process that tenants and administrators talk to. It keeps no state: any number may run."""
+"""The gateway: the stateless process that tenants and administrators talk to. Any number of them may run."""
--- a/roadhead/gateway/admin_api.py
+++ b/roadhead/gateway/admin_api.py
@@ -1,4 +1,4 @@
-"""The administration API: tenants and keys. Every change is a compare-and-set of one record."""
+"""The administration API for tenants and keys. Every change is a compare-and-set of one record."""
 
 import re
 
@@ -35,7 +35,7 @@
 )
 
 READ, WRITE, KEYS = ADMIN_SCOPES
-TRIES = 8
+MAX_ATTEMPTS = 8  # compare-and-set attempts before 503
 ETAG = re.compile(r'\s*(?:W/)?"([0-9]{1,18})"\s*\Z')
 BASE = "/admin/v1"
 TENANTS = f"{BASE}/tenants"
@@ -102,7 +102,10 @@
 
 
 class AdminApi:
-    """`usage(entry)` tells what a tenant holds (gateway/tenants_api.py)."""
+    """Handles requests of administrators.
+
+    `usage(entry)` returns what a tenant uses (gateway/tenants_api.py).
+    """
 
     def __init__(self, table, secrets, state, time_of_day, usage, overlap_s):
         self._table = table
@@ -113,7 +116,7 @@
         self._overlap_s = overlap_s
 
     async def handle(self, request):
-        """(status, message, version or None) of a request. Raises Refused."""
+        """Returns (status, message, tenant version or None) for a request. Raises Refused."""
         route, values = ROUTES.find(request)
         if route.scope is None:
             return 200, ROUTES.document("roadhead administration"), None
@@ -127,18 +130,19 @@
             raise Refused(422, "what is asked for contradicts itself", faults=error.faults) from None
 
     def _authorize(self, text, scope):
+        """Raises Refused unless the key is the root key or an administrator's key with this scope."""
         if self._secrets.is_root(text):
             return
         entry, key = authenticate(self._table, self._secrets, text, self._time_of_day())
         if entry.tenant.number != ADMINISTRATORS:
-            raise UNKNOWN_KEY  # a tenant's key is unknown here
+            raise UNKNOWN_KEY  # tenants' keys aren't valid for the administration API
         if scope not in key.scopes:
             raise Refused(403, f"the key's scopes do not hold {scope!r}")
 
     # Reading
 
     async def _load(self, name):
-        """(Tenant, stamp) by name, as stored now. Raises Refused 404 or 410."""
+        """Returns the stored (Tenant, stamp) by name. Raises Refused 404 or 410."""
         number, _stamp = (
             await self._state.get(NAME + name)
             if name.isascii() and name.replace("-", "").isalnum()
@@ -152,6 +156,10 @@
         return tenant, stamp
 
     async def _load_number(self, number):
+        """Returns the stored (Tenant, stamp) by number.
+
+        Raises NOT_SURE if there is none, as a name's record refers to it.
+        """
         record, stamp = await self._state.get(key_of(number))
         if record is None:
             raise NOT_SURE
@@ -169,7 +177,7 @@
             raise Refused(400, "after: what a page gave as next")
         state = request.query.get("state")
         found = []
-        entries = self._table.entries  # a snapshot, however long this takes
+        entries = self._table.entries  # an immutable snapshot
         for number in sorted(number for number in entries if number > int(after[:9])):
             tenant = entries[number].tenant
             if tenant.state != state if state else tenant.state == REMOVED:
@@ -200,7 +208,10 @@
     # Changing
 
     async def _store(self, tenant, stamp, conditions=(), writes=()):
-        """Writes a version over the one with `stamp`. Raises Conflict, Unsure, Unavailable."""
+        """Writes a version on condition that the stored one has `stamp`.
+
+        Raises Conflict, Unsure or Unavailable, and Contradiction for an invalid version.
+        """
         tenant.check()
         tenant = tenant.fitting(self._state.limits.value_bytes)
         key = key_of(tenant.number)
@@ -212,12 +223,12 @@
         self._table.take(key, tenant.to_record(), revision)
 
     async def _apply(self, load, request_key, change):
-        """Loads, changes and stores a tenant until nobody came between; the stored Tenant.
+        """Loads, changes and stores a tenant, and retries on conflict. Returns the stored Tenant.
 
-        `change(tenant)` gives the next version, or the same one if nothing is left to do. A
-        repeated request finds its request key in the record and changes nothing.
+        `change(tenant)` returns the next version, or the same one if nothing is left to do. A repeated
+        request finds its idempotency key in the record and changes nothing.
         """
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             tenant, stamp = await load()
             if request_key and request_key in tenant.requests:
                 return tenant
@@ -237,7 +248,7 @@
     async def _create(self, request, request_key):
         wanted = request.read(NewTenant)
         Tenant(1, wanted.name, teams=wanted.teams, limits=wanted.limits, weight=wanted.weight).check()
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             named, name_stamp = await self._state.get(NAME + wanted.name)
             if named is not None:
                 tenant, _stamp = await self._load_number(named)
@@ -291,7 +302,7 @@
         tenant = await self._apply(lambda: self._load(name), request_key, change)
         return 200, view(tenant), tenant.version
 
-    async def _transit(self, name, request_key, verb, **more):
+    async def _change_state(self, name, request_key, verb, **more):
         def change(tenant):
             new = transit(tenant, verb, request_key, **more)
             if new is None:
@@ -303,13 +314,13 @@
 
     async def _suspend(self, request, request_key, name):
         wanted = request.read(Suspension)
-        return 200, *await self._transit(name, request_key, "suspend", running=wanted.running)
+        return 200, *await self._change_state(name, request_key, "suspend", running=wanted.running)
 
     async def _resume(self, _request, request_key, name):
-        return 200, *await self._transit(name, request_key, "resume")
+        return 200, *await self._change_state(name, request_key, "resume")
 
     async def _remove(self, _request, request_key, name):
-        return 202, *await self._transit(name, request_key, "remove")
+        return 202, *await self._change_state(name, request_key, "remove")
 
     # Keys
 
@@ -324,23 +335,23 @@
             raise Refused(422, f"scopes: of {', '.join(scopes)}")
         return await self._add_key(load, request_key, lambda tenant: (wanted.scopes, wanted.label, tenant))
 
-    async def _add_key(self, load, request_key, ask):
-        """Makes a key; `ask(tenant)` gives (scopes, label, the tenant to add it to)."""
-        told = []
+    async def _add_key(self, load, request_key, prepare):
+        """Adds a key. `prepare(tenant)` returns (scopes, label, the tenant to add it to)."""
+        created = []
 
         def change(tenant):
-            scopes, label, tenant = ask(tenant)
+            scopes, label, tenant = prepare(tenant)
             text, digest = self._secrets.new_key(tenant.number, tenant.next_key, request_key)
             new, key = tenant.with_key(digest, scopes, label, self._time_of_day(), request_key)
-            told[:] = [text, key]
+            created[:] = [text, key]
             return new
 
         tenant = await self._apply(load, request_key, change)
         made = tenant.key_of_request(request_key)
         if made is not None:
             text, _digest = self._secrets.new_key(tenant.number, made.id, request_key)
-        elif told and tenant.keys and tenant.keys[-1] == told[1]:
-            text, made = told
+        elif created and tenant.keys and tenant.keys[-1] == created[1]:
+            text, made = created
         else:
             raise Refused(409, "the request made another key, which is gone")
         return 201, KeyView(made.id, made.scopes, made.label, made.until, text), tenant.version
@@ -375,15 +386,15 @@
         overlap_s = self._overlap_s if wanted.overlap_s is None else wanted.overlap_s
         now = self._time_of_day()
 
-        def ask(tenant):
+        def prepare(tenant):
             old = tenant.key(int(key) if key.isascii() and key.isdigit() and len(key) < 10 else -1, now)
             if old is None:
                 raise Refused(404, "no such key")
-            # One version does both: there is no moment with neither key.
+            # One version ends the old key and adds the new one, so that at no time both are missing.
             ending = tenant.ending_key(old.id, now + overlap_s) if overlap_s else tenant.ending_key(old.id, 0)
             return old.scopes, old.label, from_record({**ending.to_record(), "version": tenant.version})
 
-        return await self._add_key(lambda: self._load_living(name), request_key, ask)
+        return await self._add_key(lambda: self._load_living(name), request_key, prepare)
 
     async def _revoke(self, _request, request_key, name, key):
         tenant = await self._end_key(lambda: self._load(name), key, request_key, 0)
@@ -402,6 +413,7 @@
 
 
 def view(tenant):
+    """Returns the administrators' view of a tenant."""
     return TenantView(
         tenant.name,
         tenant.number,
--- a/roadhead/gateway/answers.py
+++ b/roadhead/gateway/answers.py
@@ -1,4 +1,4 @@
-"""What a gateway answers: bodies in JSON or CBOR, problems, and how a request names what it wants."""
+"""Requests to a gateway and its answers: media types (JSON or CBOR), bodies, and problem details."""
 
 import re
 from urllib.parse import parse_qs, unquote
@@ -14,7 +14,7 @@
 
 
 class Refused(Exception):
-    """A request's final answer is an error. `detail` must name nobody but the asker."""
+    """A request is answered with an error. `detail` is sent, so it must not name other tenants."""
 
     def __init__(self, status, detail="", retry_after=None, faults=(), headers=()):
         super().__init__(detail)
@@ -30,7 +30,7 @@
 
 
 class Request:
-    """A request taken apart: `path` parts, `query`, media types, body."""
+    """A parsed request: `parts` of the path, `query`, `media` (type of the answer), headers and body."""
 
     def __init__(self, message):
         path, _, query = message.target.partition("?")
@@ -44,18 +44,19 @@
         )
 
     def key(self):
-        """The access key, or an empty text."""
+        """Returns the access key, or an empty text."""
         scheme, _, key = self.headers.get("authorization", "").partition(" ")
         return key.strip() if scheme.lower() == "bearer" else ""
 
     def request_key(self):
+        """Returns the idempotency key, or an empty text. Raises Refused."""
         key = self.headers.get("idempotency-key", "")
         if len(key) > 100:
             raise Refused(400, "Idempotency-Key: at most 100 characters")
         return key
 
-    def read(self, kind):
-        """The body as a message. Raises Refused."""
+    def read(self, message_type):
+        """Decodes the body into a message of type `kind`. Raises Refused."""
         media = self.headers.get("content-type", JSON).partition(";")[0].strip().lower()
         if media not in (JSON, CBOR):
             raise Refused(415, f"a body is {JSON} or {CBOR}")
@@ -64,22 +65,23 @@
                 value = msgspec.json.decode(self.body or b"{}")
             else:
                 value = cbor2.loads(self.body) if self.body else {}
-        except Exception:  # the decoders raise many kinds for garbage
+        except Exception:  # the decoders raise exceptions of many types for malformed input
             raise Refused(400, f"the body is not {media}") from None
         try:
-            return msgspec.convert(value, kind)
+            return msgspec.convert(value, message_type)
         except (msgspec.ValidationError, ValueError, TypeError, RecursionError) as error:
             raise Refused(400, _without_values(str(error))) from None
 
-    def count(self, name, default, most):
+    def count(self, name, default, maximum):
+        """Returns an integer query parameter from 1 to `most`. Raises Refused."""
         text = self.query.get(name, str(default))
-        if not (text.isascii() and text.isdigit() and 1 <= int(text[:9]) <= most):
-            raise Refused(400, f"{name}: from 1 to {most}")
+        if not (text.isascii() and text.isdigit() and 1 <= int(text[:9]) <= maximum):
+            raise Refused(400, f"{name}: from 1 to {maximum}")
         return int(text)
 
 
 def _without_values(text):
-    """A fault as the library words it, without what was sent: that may be a secret gone astray."""
+    """Removes input values from an msgspec error text: a value sent by mistake may be a secret."""
     what, _, where = text.partition(" - at ")
     what = re.sub(r"'[^']*'", "given", what)
     if "unknown field" in what:
@@ -89,19 +91,21 @@
 
 
 def answer(status, value, media, headers=()):
-    """(status, body, retry_after, media type, headers) for `http.serve`."""
+    """Returns (status, body, retry_after, media type, headers) for `http.serve`."""
     if value is None:
         return status, b"", None, media, headers
     return status, encode(value, media), None, media, headers
 
 
 def encode(value, media):
+    """Encodes a value as JSON or CBOR."""
     if media == CBOR:
         return cbor2.dumps(msgspec.to_builtins(value))
     return msgspec.json.encode(value)
 
 
 def problem(refused, media):
+    """Returns the answer that reports `refused`, for `http.serve`."""
     status = refused.status
     body = Problem(REASONS.get(status, "Error"), status, refused.detail, refused.faults)
     return status, encode(body, media), refused.retry_after, PROBLEMS[media], refused.headers
--- a/roadhead/gateway/commands.py
+++ b/roadhead/gateway/commands.py
@@ -1,4 +1,4 @@
-"""`roadhead tenants ...`: the administration API from the command line."""
+"""The command `roadhead tenants`: a command line client of the administration API."""
 
 import http.client
 import json
@@ -12,7 +12,7 @@
 
 
 def add_to(verbs):
-    """The verb `tenants` and its actions, for the command line's parser."""
+    """Adds the command `tenants` and its actions to the command line parser."""
     tenants = verbs.add_parser("tenants", help="create, change, suspend and remove tenants; their keys")
     actions = tenants.add_subparsers(dest="action", metavar="ACTION", required=True)
 
@@ -22,23 +22,27 @@
             "--address",
             default="127.0.0.1:8091",
             metavar="HOST:PORT",
-            help="a gateway's address of administration",
+            help="administration address of a gateway",
         )
         parser.add_argument(
             "--key-file", metavar="FILE", help=f"file with an administrator's key; default: ${KEY_VARIABLE}"
         )
-        parser.add_argument("--request-key", metavar="TEXT", help="the same text makes a repeat harmless")
+        parser.add_argument(
+            "--request-key",
+            metavar="TEXT",
+            help="idempotency key: a repeated request with the same key has no further effect",
+        )
         parser.add_argument("--json", action="store_true", help="print the answer as JSON")
         if named:
             parser.add_argument("name", metavar="NAME")
         return parser
 
-    def described(parser):
+    def add_tenant_options(parser):
         parser.add_argument(
             "--team",
             action="append",
             metavar="NAME[:cpus=N][:cpus_max=N][:weight=N]",
-            help="a team; again for each. All teams are named anew",
+            help="a team; repeat the option for each. The teams replace all present ones",
         )
         for amount in ("cpus", "gpus", "submissions"):
             parser.add_argument(f"--{amount}", type=float)
@@ -46,36 +50,40 @@
             parser.add_argument(f"--{amount}", type=int)
         parser.add_argument("--weight", type=float)
 
-    action("list", "all tenants", named=False).add_argument("--state")
-    described(action("create", "a new tenant"))
-    action("show", "one tenant")
-    change = action("change", "other teams, limits or weight")
-    described(change)
-    change.add_argument("--version", type=int, help="only if this is the version; default: the present one")
-    action("suspend", "nothing of it starts").add_argument(
-        "--running", choices=("finish", "stop"), default="finish", help="what becomes of running work"
+    action("list", "list all tenants", named=False).add_argument("--state")
+    add_tenant_options(action("create", "create a tenant"))
+    action("show", "show a tenant")
+    change = action("change", "change teams, limits or weight")
+    add_tenant_options(change)
+    change.add_argument(
+        "--version", type=int, help="version that the tenant must have; default: the current one"
+    )
+    action("suspend", "suspend a tenant: none of its tasks starts").add_argument(
+        "--running", choices=("finish", "stop"), default="finish", help="what happens to running work"
     )
-    action("resume", "its work starts again")
-    action("remove", "cancel all its jobs and remove it")
-    action("usage", "what it holds now")
-    action("keys", "its keys")
-    add = action("add-key", "a new key, told once")
+    action("resume", "let a suspended tenant's tasks start again")
+    action("remove", "cancel all jobs of a tenant and remove it")
+    action("usage", "show what a tenant uses now")
+    action("keys", "list a tenant's keys")
+    add = action("add-key", "create a key; it is shown only once")
     add.add_argument("--scopes", default="read,submit,cancel")
     add.add_argument("--label", default="")
-    rotate = action("rotate-key", "a new key in place of one")
+    rotate = action("rotate-key", "replace a key by a new one")
     rotate.add_argument("id", type=int)
     rotate.add_argument("--overlap", type=float, metavar="SECONDS")
-    action("revoke-key", "end a key at once").add_argument("id", type=int)
-    root = actions.add_parser("root-key", help="the key of whoever holds the master secret")
+    action("revoke-key", "revoke a key at once").add_argument("id", type=int)
+    root = actions.add_parser("root-key", help="print the root key, derived from the master secret")
     root.add_argument("--hosted", required=True, metavar="FILE")
 
 
 class Trouble(Exception):
+    """The request was refused, or there was no valid response."""
+
     pass
 
 
 def main(args):
-    """Exit code: 0 fine, 1 refused or not reached, 2 bad usage."""
+    """Runs an action. Returns the exit code: 0 success, 1 refused or unreachable, 2 invalid usage."""
     if args.action == "root-key":
         from roadhead.settings import SettingsError
         from roadhead.tenants.keys import Secrets
@@ -100,7 +108,7 @@
     if args.json:
         print(json.dumps(answer))
     else:
-        print("\n".join(_lines(answer)))
+        print("\n".join(_format_answer(answer)))
     return 0
 
 
@@ -110,11 +118,13 @@
             return file.read().strip()
     key = os.environ.get(KEY_VARIABLE, "")
     if not key:
-        raise ValueError(f"no key: --key-file or ${KEY_VARIABLE}")
+        raise ValueError(f"no key given: use --key-file or ${KEY_VARIABLE}")
     return key
 
 
 class Caller:
+    """Sends requests to the administration API and returns decoded answers."""
+
     def __init__(self, address, key, request_key):
         self._address = address
         self._headers = {"Authorization": f"Bearer {key}", "Content-Type": "application/json"}
@@ -134,7 +144,7 @@
             data = response.read()
             answer = json.loads(data) if data else {}
         except (http.client.HTTPException, ValueError) as error:
-            raise Trouble(f"{self._address}: no proper answer: {error!r}") from None
+            raise Trouble(f"{self._address}: invalid response: {error!r}") from None
         finally:
             connection.close()
         if response.status >= 400:
@@ -143,8 +153,8 @@
         return answer
 
 
-def described(args):
-    """The parts of a tenant that the arguments name. Raises ValueError."""
+def tenant_fields(args):
+    """Returns the parts of a tenant given as arguments. Raises ValueError."""
     body = {}
     if args.team is not None:
         body["teams"] = [_team(text) for text in args.team]
@@ -166,12 +176,12 @@
     for amount in amounts:
         field, _, value = amount.partition("=")
         if field not in AMOUNTS:
-            raise ValueError(f"--team {text}: {field!r} is none of {', '.join(AMOUNTS)}")
+            raise ValueError(f"--team {text}: unknown field {field!r}, expected one of {', '.join(AMOUNTS)}")
         team[field] = float(value)
     return team
 
 
-def _all_pages(call, args):
+def _list_all(call, args):
     tenants, after = [], "0"
     while after is not None:
         state = f"&state={quote(args.state)}" if args.state else ""
@@ -182,42 +192,45 @@
 
 
 def _change(call, args):
-    """Limits that are not named stay as they are."""
+    """Changes a tenant; limits that are not given keep their values."""
     path = f"tenants/{quote(args.name, safe='')}"
     present = call("GET", path)
-    body = described(args)
+    body = tenant_fields(args)
     if "limits" in body:
         body["limits"] = {**present["limits"], **body["limits"]}
     version = present["version"] if args.version is None else args.version
     return call("PATCH", path, body, {"If-Match": f'"{version}"'})
 
 
-def _one(method, path="", body=lambda args: None):
+def _tenant_request(method, path="", body=lambda args: None):
+    """Returns an action that sends one request about the named tenant."""
     return lambda call, args: call(
         method, f"tenants/{quote(args.name, safe='')}{path.format(id=getattr(args, 'id', ''))}", body(args)
     )
 
 
 ACTIONS = {
-    "list": _all_pages,
-    "create": lambda call, args: call("POST", "tenants", {"name": args.name, **described(args)}),
-    "show": _one("GET"),
+    "list": _list_all,
+    "create": lambda call, args: call("POST", "tenants", {"name": args.name, **tenant_fields(args)}),
+    "show": _tenant_request("GET"),
     "change": _change,
-    "suspend": _one("POST", "/suspend", lambda args: {"running": args.running}),
-    "resume": _one("POST", "/resume"),
-    "remove": _one("DELETE"),
-    "usage": _one("GET", "/usage"),
-    "keys": _one("GET", "/keys"),
-    "add-key": _one("POST", "/keys", lambda args: {"scopes": args.scopes.split(","), "label": args.label}),
-    "rotate-key": _one(
+    "suspend": _tenant_request("POST", "/suspend", lambda args: {"running": args.running}),
+    "resume": _tenant_request("POST", "/resume"),
+    "remove": _tenant_request("DELETE"),
+    "usage": _tenant_request("GET", "/usage"),
+    "keys": _tenant_request("GET", "/keys"),
+    "add-key": _tenant_request(
+        "POST", "/keys", lambda args: {"scopes": args.scopes.split(","), "label": args.label}
+    ),
+    "rotate-key": _tenant_request(
         "POST", "/keys/{id}/rotate", lambda args: {} if args.overlap is None else {"overlap_s": args.overlap}
     ),
-    "revoke-key": _one("DELETE", "/keys/{id}"),
+    "revoke-key": _tenant_request("DELETE", "/keys/{id}"),
 }
 
 
-def _lines(answer):
-    """An answer for people: a row a thing, a line an amount."""
+def _format_answer(answer):
+    """Yields an answer as text for people: a table, or one line per field."""
     if "tenants" in answer:
         yield f"{'name':32} {'number':>6} {'state':10} {'version':>7}  teams"
         for row in answer["tenants"]:
@@ -236,7 +249,7 @@
                 f"{row['open_jobs']:6} {row['waiting_tasks']:8}"
             )
         if not answer["complete"]:
-            yield "not known to be all: a controller is not heard, or is taking over"
+            yield "possibly incomplete: a controller did not answer, or a failover is in progress"
     else:
         for name, value in answer.items():
             yield f"{name}: {value if isinstance(value, (str, int, float)) else json.dumps(value)}"
--- a/roadhead/gateway/controllers.py
+++ b/roadhead/gateway/controllers.py
@@ -1,4 +1,4 @@
-"""A gateway's requests to the controllers, signed, to the tenant's warden first."""
+"""A gateway's signed requests to the controllers, to the tenant's quota leader first."""
 
 import logging
 
@@ -9,11 +9,13 @@
 
 log = logging.getLogger("roadhead.controllers")
 
-TRIES = 3
-PASS_OVER_S = 2.0  # for which a controller that did not answer is asked last
+MAX_ATTEMPTS = 3  # controllers asked per request
+DEPRIORITIZE_S = 2.0  # how long a controller that did not answer is asked last
 
 
 class Controllers:
+    """Sends requests to the controllers of the deployment."""
+
     def __init__(self, loop, net, fronts, secrets, term, time_of_day, random):
         self._loop = loop
         self._clients = {label: Client(loop, net, address, max_idle=32) for label, address in fronts.items()}
@@ -21,16 +23,21 @@
         self._term = term  # () -> Term
         self._time_of_day = time_of_day
         self._random = random
-        self._silent = {}  # label -> until when it is asked last
+        self._deprioritized_until = {}  # label -> time until which it is asked last
 
     def _order(self, number):
-        """Labels: the warden, which knows of all that the tenant has, then the others by chance;
-        last those that were silent lately."""
+        """Returns the labels in the order in which to ask.
+
+        The quota leader is first, as it knows all of the tenant's jobs; the others follow in random order.
+        Controllers that did not answer lately come last.
+        """
         labels = list(self._clients)
         self._random.shuffle(labels)
-        warden = self._term().warden(str(number))
+        quota_leader = self._term().warden(str(number))
         now = self._loop.now()
-        labels.sort(key=lambda label: (self._silent.get(label, 0.0) > now, label != warden))
+        labels.sort(
+            key=lambda label: (self._deprioritized_until.get(label, 0.0) > now, label != quota_leader)
+        )
         return labels
 
     async def _ask(self, label, method, target, body, timeout):
@@ -41,35 +48,36 @@
         return status, (messages.decode_map(data) if data else {}), headers
 
     async def ask(self, number, method, target, body=b"", within_s=4.0):
-        """(status, answer, headers) of the first controller that can say. Raises Refused.
+        """Returns (status, answer, headers) of the first controller that can answer. Raises Refused.
 
-        Whatever is asked here may be asked twice: a submission is known by its id.
+        A request may reach several controllers, so it must be idempotent: submissions are, by the job's id.
         """
         deadline = self._loop.now() + within_s
-        for attempt, label in enumerate(self._order(number)[:TRIES]):
+        for attempt, label in enumerate(self._order(number)[:MAX_ATTEMPTS]):
             left = deadline - self._loop.now()
             if left <= 0.1:
                 break
-            # The first gets most of the time: a second one asked too soon only doubles the work.
-            timeout = left * (0.5 if attempt < TRIES - 1 else 1.0)
+            # The first gets most of the time: asking a second one too soon only doubles the work.
+            timeout = left * (0.5 if attempt < MAX_ATTEMPTS - 1 else 1.0)
             try:
                 status, answer, headers = await self._ask(label, method, target, body, timeout)
             except (NoAnswer, Timeout, messages.Invalid) as error:
                 log.debug("%s: %r", label, error)
-                self._silent[label] = self._loop.now() + PASS_OVER_S
+                self._deprioritized_until[label] = self._loop.now() + DEPRIORITIZE_S
                 continue
             if status < 500:
                 return status, answer, headers
         raise NOT_SURE
 
     async def ask_all(self, target, within_s=2.0):
-        """The answers (200) of all controllers, as far as they come."""
+        """Returns the 200 answers of all controllers that answer in time."""
         routines = [
-            self._loop.spawn(self._one(label, target, within_s), "ask one") for label in self._clients
+            self._loop.spawn(self._ask_one(label, target, within_s), "ask one") for label in self._clients
         ]
         return [answer for routine in routines if (answer := await routine.done) is not None]
 
-    async def _one(self, label, target, within_s):
+    async def _ask_one(self, label, target, within_s):
+        """Returns one controller's answer, or None."""
         try:
             status, answer, _headers = await self._ask(label, "GET", target, b"", within_s)
         except (NoAnswer, Timeout, messages.Invalid):
--- a/roadhead/gateway/gateway.py
+++ b/roadhead/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway: two addresses, two APIs, no state of its own. Wires the parts of this package."""
+"""A gateway process: two addresses for two APIs, and no durable state. Connects the parts of this package."""
 
 import logging
 import random
@@ -16,11 +16,14 @@
 
 log = logging.getLogger("roadhead.gateway")
 
-PATIENCE_S = 10.0  # for a request begun to be whole
+REQUEST_TIMEOUT_S = 10.0  # how long a request may take to arrive completely
 
 
 class Gateway:
-    """`time_of_day` within the deployment's bound: keys end and requests are signed by it."""
+    """Serves the tenants' and the administration API.
+
+    Keys expire and requests are signed by `time_of_day`, which must be within the deployment's clock bound.
+    """
 
     def __init__(self, loop, net, hosted, rng=None, time_of_day=time.time):
         self._loop = loop
@@ -46,6 +49,7 @@
         )
 
     def start(self):
+        """Starts watching the tenants and listening on both addresses."""
         gateway = self._hosted.gateway
         self._loop.spawn(self.watch.run(), "watch")
         self._net.listen(gateway.tenants, self._accepting("tenants", self._serve_tenants))
@@ -54,9 +58,11 @@
         )
 
     def _accepting(self, name, handle):
+        """Returns the function that accepts connections for an API and bounds their number."""
+
         async def serve(stream):
             try:
-                await http.serve(self._loop, stream, handle, PATIENCE_S)
+                await http.serve(self._loop, stream, handle, REQUEST_TIMEOUT_S)
             finally:
                 self._streams[name] -= 1
 
@@ -81,7 +87,7 @@
     async def _answer(self, message, handle):
         try:
             request = Request(message)
-        except ValueError:  # more in the query than any path takes
+        except ValueError:  # the query has more fields than any path takes
             return problem(Refused(400, "the target can't be read"), JSON)
         if request.parts == ["ready"]:
             return (200 if self.watch.fresh() else 503), b"", None
@@ -91,7 +97,7 @@
             status, value, version = await handle(request)
         except Refused as refused:
             return problem(refused, request.media)
-        except Exception:  # whatever it was, its text is for the log, not for the asker
+        except Exception:  # the error's text may hold internal details: log it, but don't send it
             log.exception("%s %s failed", request.method, "/".join(request.parts[:3]))
             return problem(Refused(500, "a fault of ours"), request.media)
         headers = [("ETag", f'"{version}"')] if version is not None else []
--- a/roadhead/gateway/routes.py
+++ b/roadhead/gateway/routes.py
@@ -1,4 +1,4 @@
-"""Paths of an API: matched for requests, and described in its OpenAPI document."""
+"""Routes of an API: matched against requests, and described in its OpenAPI document."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,11 @@
 
 
 class Route(NamedTuple):
-    """`path` has its variables in braces; `takes` and `gives` are message types or None."""
+    """A path with its method.
+
+    Variables in `path` are in braces; `takes` and `gives` are the body's and the answer's message types or
+    None.
+    """
 
     method: str
     path: str
@@ -24,12 +28,14 @@
 
 
 class Routes:
+    """All routes of an API."""
+
     def __init__(self, routes):
         self._routes = [(route, route.path.strip("/").split("/")) for route in routes]
 
     def find(self, request):
-        """(Route, values of its variables). Raises Refused: 404 or 405."""
-        there = False
+        """Returns (Route, values of its variables). Raises Refused 404 or 405."""
+        path_exists = False
         for route, parts in self._routes:
             if len(parts) != len(request.parts):
                 continue
@@ -42,11 +48,13 @@
             else:
                 if route.method == request.method:
                     return route, values
-                there = True
-        raise Refused(405 if there else 404, "no such path" if not there else "not with this method")
+                path_exists = True
+        raise Refused(
+            405 if path_exists else 404, "no such path" if not path_exists else "not with this method"
+        )
 
     def document(self, title):
-        """The API in OpenAPI 3.1, made from the routes and their message types."""
+        """Returns the OpenAPI 3.1 document, generated from the routes and their message types."""
         kinds = [Problem]
         for route, _parts in self._routes:
             kinds += [kind for kind in (route.takes, route.gives) if kind not in (None, *kinds)]
--- a/roadhead/gateway/tenants_api.py
+++ b/roadhead/gateway/tenants_api.py
@@ -1,4 +1,4 @@
-"""The tenants' API: their own jobs, by their own ids. Nothing here names anybody else."""
+"""The tenants' API: a tenant's jobs, by its own job ids. Answers contain nothing about other tenants."""
 
 from roadhead.gateway.answers import NOT_SURE, UNKNOWN_KEY, Refused
 from roadhead.gateway.routes import Route, Routes
@@ -10,14 +10,14 @@
 from roadhead.tenants.records import ADMINISTRATORS, key_of
 from roadhead.wire import messages
 
-PAGE, PAGE_MOST = 100, 500
-PATIENCE_S = 4.0
-READ_MOST = 4  # records read at once for keys that are unknown here
-READ_SPARE = 0.5  # of the burst of requests must be left for that
-# What a controller may say of a submission that can never run: nothing else is passed on.
-REASONS = ("unknown team", "more than the team's limit", "fits no machine type")
-UPSTREAM = ("was never accepted", "is a service", "names itself")
-TEXTS = (
+DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE = 100, 500
+REQUEST_TIMEOUT_S = 4.0
+MAX_CONCURRENT_READS = 4  # tenant records read concurrently to look up unknown keys
+READ_SPARE_BURST = 0.5  # fraction of the request burst that must be left for such a read
+# Controllers' reasons why a job can never run that are passed on to tenants; all others are replaced.
+PUBLIC_REASONS = ("unknown team", "more than the team's limit", "fits no machine type")
+PUBLIC_UPSTREAM_REASONS = ("was never accepted", "is a service", "names itself")
+PUBLIC_REFUSALS = (
     admission.TOO_FAST,
     admission.TOO_MANY_JOBS,
     admission.TOO_MANY_TASKS,
@@ -67,7 +67,10 @@
 
 
 def authenticate(table, secrets, text, now):
-    """(Entry, Key) of an access key. Raises Refused, the same for unknown and revoked ones."""
+    """Returns (Entry, Key) for an access key.
+
+    Raises Refused, with the same text for unknown and revoked keys.
+    """
     named = split_key(text)
     entry = table.entry(named[0]) if named is not None else None
     key = entry.tenant.key(named[1], now) if entry is not None else None
@@ -77,6 +80,8 @@
 
 
 class TenantsApi:
+    """Handles requests of tenants."""
+
     def __init__(self, loop, table, secrets, controllers, state, time_of_day):
         self._table = table
         self._secrets = secrets
@@ -84,10 +89,10 @@
         self._state = state
         self._time_of_day = time_of_day
         self._rates = admission.Rates(loop)
-        self._reading = 0  # records of tenants being read for keys unknown here
+        self._reading = 0  # tenant records being read to look up unknown keys
 
     async def handle(self, request):
-        """(status, message) of a request. Raises Refused."""
+        """Returns (status, message) for a request. Raises Refused."""
         route, values = ROUTES.find(request)
         if route.scope is None:
             return 200, ROUTES.document("roadhead for tenants")
@@ -109,12 +114,17 @@
         if route.name == "summary":
             return 200, await self.usage(entry)
         if route.name == "status":
-            return await self._told(number, values["id"], "GET", f"/v1/jobs/{job_id}", 2.0)
-        return await self._told(number, values["id"], "POST", f"/v1/jobs/{job_id}/cancel", PATIENCE_S)
+            return await self._ask_about_job(number, values["id"], "GET", f"/v1/jobs/{job_id}", 2.0)
+        return await self._ask_about_job(
+            number, values["id"], "POST", f"/v1/jobs/{job_id}/cancel", REQUEST_TIMEOUT_S
+        )
 
     async def _authenticate(self, text):
-        """(Entry, Key) of an access key. A key that is unknown here may have been made through another
-        gateway, and this one's watch may lag: only the tenant's record says that there is none."""
+        """Returns (Entry, Key) for an access key.
+
+        A key that is unknown here may have been created through another gateway while this one's watch lags,
+        so the tenant's stored record is read before a key is refused.
+        """
         try:
             return authenticate(self._table, self._secrets, text, self._time_of_day())
         except Refused:
@@ -124,8 +134,8 @@
         return authenticate(self._table, self._secrets, text, self._time_of_day())
 
     async def _read_tenant(self, number):
-        """Takes the tenant's record as it is now. Raises NOT_SURE, also if that many are being read."""
-        if self._reading >= READ_MOST or not self._state.requests.spare(READ_SPARE):
+        """Refreshes a tenant's record in the table. Raises NOT_SURE, also if too many are being read."""
+        if self._reading >= MAX_CONCURRENT_READS or not self._state.requests.spare(READ_SPARE_BURST):
             raise NOT_SURE
         self._reading += 1
         try:
@@ -137,19 +147,19 @@
         if record is not None:
             self._table.take(key_of(number), record, stamp)
 
-    async def _told(self, number, own, method, target, within_s, body=b""):
-        """(status, Job) by what a controller says of the tenant's job. Raises Refused."""
+    async def _ask_about_job(self, number, own, method, target, within_s, body=b""):
+        """Asks a controller about the tenant's job. Returns (status, Job). Raises Refused."""
         status, answer, headers = await self._controllers.ask(number, method, target, body, within_s)
         if status in (200, 201):
             if answer.get("id") != ids.to_job(number, own):
-                raise NOT_SURE  # never somebody else's
+                raise NOT_SURE  # another job, which may be another tenant's
             return status, Job(own, answer["status"], answer.get("done"), answer.get("running"))
         text = answer.get("error")
         if status == 404:
             raise Refused(404, "no such job")
         if status == 422:
-            raise Refused(422, text if text in REASONS else own_words(number, text))
-        if status in (403, 410, 429) and text in TEXTS:
+            raise Refused(422, text if text in PUBLIC_REASONS else public_upstream_reason(number, text))
+        if status in (403, 410, 429) and text in PUBLIC_REFUSALS:
             wait = headers.get("retry-after", "1")
             raise Refused(status, text, int(wait) if status == 429 and wait.isdigit() else None)
         raise NOT_SURE
@@ -159,41 +169,41 @@
         submission = request.read(Submission)
         number = tenant.number
         job_id = ids.to_job(number, submission.id)
-        resting = admission.standing(tenant)
-        if resting is not None:
-            try:  # what was accepted before is known as ever
-                return await self._told(number, submission.id, "GET", f"/v1/jobs/{job_id}", 2.0)
+        state_refused = admission.standing(tenant)
+        if state_refused is not None:
+            try:  # a retry of a job that was accepted earlier is answered with its state
+                return await self._ask_about_job(number, submission.id, "GET", f"/v1/jobs/{job_id}", 2.0)
             except Refused as refused:
                 if refused.status != 404:
                     raise
-            raise Refused(*resting)
+            raise Refused(*state_refused)
         refusal = self._rates.take(tenant)
         if refusal is not None:
             raise Refused(*refusal)
         if tenant.team(submission.team) is None:
             raise Refused(422, "unknown team")
         body = messages.encode(submission.to_protocol(job_id, number))
-        return await self._told(number, submission.id, "POST", "/v1/jobs", PATIENCE_S, body)
+        return await self._ask_about_job(number, submission.id, "POST", "/v1/jobs", REQUEST_TIMEOUT_S, body)
 
     async def _list(self, number, request):
-        """One page, read from the state service: the open jobs' place first, then the shelf."""
-        limit = request.count("limit", PAGE, PAGE_MOST)
+        """Returns one page of jobs, read from the state service: first the open ones, then the archive."""
+        limit = request.count("limit", DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE)
         state = request.query.get("state")
         if state not in (None, "open", *FINAL):
             raise Refused(400, "state: open, done or cancelled")
         wanted = {name: request.query.get(name) for name in ("class", "team")}
-        place, after = self._cursor(number, request.query.get("after", ""))
+        place, after = self._parse_cursor(number, request.query.get("after", ""))
         found = []
-        # A filter may pass over much: a request reads a bounded number of pages all the same.
+        # A filter may skip many records, so the number of pages read per request is bounded.
         for _ in range(4):
             prefix = place + ids.prefix(number)
             try:
-                items, more, _revision = await self._state.page(prefix, after, PAGE_MOST)
+                items, more, _revision = await self._state.page(prefix, after, MAX_PAGE_SIZE)
             except (Unavailable, Unsure):
                 raise NOT_SURE from None
             for key, record, _stamp in items:
                 after = key
-                job = job_of(number, key[len(place) :], record)
+                job = job_from_record(number, key[len(place) :], record)
                 if job is None or (state and state != (job.status if job.status in FINAL else "open")):
                     continue
                 if any(
@@ -203,21 +213,22 @@
                     continue
                 found.append(job)
                 if len(found) == limit:
-                    return JobPage(found, self._next(place, after))
+                    return JobPage(found, self._next_cursor(place, after))
             if not more:
                 if place == SHELF:
                     return JobPage(found, None)
                 place, after = SHELF, ""
-        return JobPage(found, self._next(place, after))
+        return JobPage(found, self._next_cursor(place, after))
 
     @staticmethod
-    def _next(place, after):
+    def _next_cursor(place, after):
+        """Returns the cursor for the next page."""
         own = ids.from_job(after[len(place) :]) if after else None
         return f"{place[0]}.{own[1] if own else ''}"
 
     @staticmethod
-    def _cursor(number, text):
-        """(place, key after which to go on) of what `next` of a page said."""
+    def _parse_cursor(number, text):
+        """Parses a cursor into (prefix, key to continue after). Raises Refused."""
         if not text:
             return KEY, ""
         place, dot, own = text.partition(".")
@@ -229,7 +240,7 @@
             raise Refused(400, "after: what a page gave as next") from None
 
     async def usage(self, entry):
-        """What a tenant holds, by all controllers that answer."""
+        """Returns the tenant's Usage, summed over all controllers that answer."""
         answers = await self._controllers.ask_all(f"/v1/tenants/{entry.tenant.number}")
         teams = {team.name: TeamUse(team.name) for team in entry.tenant.teams}
         classes = {}
@@ -253,18 +264,18 @@
         )
 
 
-def own_words(number, text):
-    """What a controller says of a job that is named as upstream, with the tenant's own id of it."""
+def public_upstream_reason(number, text):
+    """Returns a controller's reason against an upstream job, with the tenant's own id of that job."""
     head, _, rest = (text or "").partition(" ")
     job_id, _, what = rest.partition(" ")
     named = ids.from_job(job_id)
-    if head == "upstream:" and named is not None and named[0] == number and what in UPSTREAM:
+    if head == "upstream:" and named is not None and named[0] == number and what in PUBLIC_UPSTREAM_REASONS:
         return f"upstream: {named[1]} {what}"
     return "can never run"
 
 
-def job_of(number, job_id, record):
-    """A Job by its stored record, or None for a record that is not one of the tenant's jobs."""
+def job_from_record(number, job_id, record):
+    """Returns a Job from its stored record, or None if the record is not one of this tenant's jobs."""
     named = ids.from_job(job_id)
     if named is None or named[0] != number:
         return None
--- a/roadhead/gateway/types.py
+++ b/roadhead/gateway/types.py
@@ -1,4 +1,7 @@
-"""The messages of the tenants' and the administration API, from which their documents are made."""
+"""Messages of the tenants' and the administration API. The OpenAPI documents are generated from them.
+
+Class docstrings are part of those documents, as the descriptions of the schemas.
+"""
 
 from typing import Annotated, Literal
 
@@ -42,7 +45,7 @@
     upstream: Annotated[list[OwnId], Meta(max_length=1000)] | None = None
 
     def to_protocol(self, job_id, number):
-        """The controllers' message."""
+        """Returns the message for the controllers."""
         return {
             "id": job_id,
             "jobclass": self.klass,
--- a/roadhead/gateway/watch.py
+++ b/roadhead/gateway/watch.py
@@ -1,4 +1,4 @@
-"""What a gateway knows: the tenants and the term, by one watch on the state service."""
+"""Keeps a gateway's tenants and membership term up to date, with one watch on the state service."""
 
 import logging
 
@@ -9,24 +9,28 @@
 
 log = logging.getLogger("roadhead.watch")
 
-PREFIX = "c/t"  # of the term and of all tenants
+PREFIX = "c/t"  # common prefix of the keys of the term and of all tenants
 
 
 class Watch:
-    """`fresh()` is false once nothing was heard for `stale_s`: then the gateway refuses everything
-    rather than take a key that may be revoked."""
+    """Watches the records of tenants and the term.
+
+    Once nothing has been heard for `stale_s`, `fresh()` is false and the gateway refuses all requests:
+    otherwise it might accept a revoked key.
+    """
 
     def __init__(self, loop, state, table, stale_s):
         self._loop = loop
         self._state = state
         self._table = table
         self._stale_s = stale_s
-        self._heard_at = -1e9  # send time of the newest listing or watch that was answered
-        self._seen = None
+        self._heard_at = -1e9  # send time of the newest list or watch request that was answered
+        self._revision = None
         self.term = Term()
         self._term_stamp = 0
 
     def fresh(self):
+        """Returns whether the state service has answered within `stale_s`."""
         return self._loop.now() - self._heard_at < self._stale_s
 
     def _take(self, key, record, stamp):
@@ -37,23 +41,23 @@
             self._table.take(key, record, stamp)
 
     async def run(self):
-        """The duty."""
+        """Periodic duty: follows the changes."""
         while True:
             sent_at = self._loop.now()
             try:
-                if self._seen is None:
-                    items, self._seen = await self._state.list(PREFIX)
+                if self._revision is None:
+                    items, self._revision = await self._state.list(PREFIX)
                     for key, record, stamp in items:
                         self._take(key, record, stamp)
                 else:
-                    events, revision = await self._state.changes(PREFIX, self._seen, self._stale_s / 3)
+                    events, revision = await self._state.changes(PREFIX, self._revision, self._stale_s / 3)
                     for event in events:
                         if "put" in event:
                             self._take(event["put"], event["data"], event["stamp"])
-                    self._seen = max(self._seen, revision)
+                    self._revision = max(self._revision, revision)
                 self._heard_at = max(self._heard_at, sent_at)
             except TooOld:
-                self._seen = None
+                self._revision = None
             except (Unavailable, Unsure) as error:
                 log.debug("watch: %r", error)
                 await self._loop.sleep(self._stale_s / 40)
