--- a/roadhead/runtime/__init__.py
+++ b/roadhead/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The event loop and byte streams."""
+"""The event loop, timers and byte streams that all processes run on."""
--- a/roadhead/runtime/loop.py
+++ b/roadhead/runtime/loop.py
@@ -1,6 +1,6 @@
-"""The event loop: timers, routines (`async def`, run here) and their orderly cancellation.
+"""A single-threaded event loop: timers, and routines (`async def` coroutines) with cancellation.
 
-The clock and the selector are handed in, so that tests run the same code in virtual time.
+The clock and the selector are parameters, so that tests run the same code in virtual time.
 """
 
 import heapq
@@ -11,19 +11,19 @@
 
 log = logging.getLogger("roadhead.loop")
 
-CATCH_UP_MOST = 1000  # rounds of reading after a stall, should the sockets never run empty
+CATCH_UP_MOST = 1000  # limit on rounds of reading after a stall, in case the sockets never run empty
 
 
 class Cancelled(BaseException):
-    """Raised inside a routine at its current await when it is cancelled."""
+    """Raised inside a routine at its current await when the routine is cancelled."""
 
 
 class Timeout(Exception):
-    """An awaited thing did not come in time."""
+    """An awaited result did not arrive in time."""
 
 
 class Future:
-    """A value that comes later; awaited by at most a few routines."""
+    """A result that becomes available later, for at most a few waiting routines."""
 
     __slots__ = ("_callbacks", "_error", "_value", "done")
 
@@ -34,12 +34,14 @@
         self._callbacks = []
 
     def set(self, value=None):
+        """Completes the future with `value`. Has no effect if it is done."""
         if not self.done:
             self.done = True
             self._value = value
             self._run()
 
     def fail(self, error):
+        """Completes the future with an exception. Has no effect if it is done."""
         if not self.done:
             self.done = True
             self._error = error
@@ -51,12 +53,14 @@
             callback(self)
 
     def on_done(self, callback):
+        """Calls `callback(future)` once the future is done, at once if it is."""
         if self.done:
             callback(self)
         else:
             self._callbacks.append(callback)
 
     def result(self):
+        """Returns the value or raises the error."""
         if self._error is not None:
             raise self._error
         return self._value
@@ -68,7 +72,7 @@
 
 
 class Signal:
-    """A wake-up that is remembered until somebody waits for it."""
+    """A wake-up for one waiter. It is kept until somebody waits for it."""
 
     __slots__ = ("_future", "_set")
 
@@ -77,6 +81,7 @@
         self._future = None
 
     def set(self):
+        """Wakes the waiter, or lets the next `wait` return at once."""
         if self._future is not None:
             future, self._future = self._future, None
             future.set()
@@ -84,7 +89,7 @@
             self._set = True
 
     async def wait(self, loop=None, timeout=None):
-        """Waits for the signal; False if `timeout` seconds passed without it."""
+        """Waits for the signal. Returns False if `timeout` seconds pass without it."""
         if self._set:
             self._set = False
             return True
@@ -100,6 +105,8 @@
 
 
 class Timer:
+    """A scheduled callback."""
+
     __slots__ = ("args", "fn", "when")
 
     def __init__(self, when, fn, args):
@@ -108,12 +115,13 @@
         self.args = args
 
     def cancel(self):
+        """Prevents the callback from running. The entry stays in the loop's heap until it is due."""
         self.fn = None
         self.args = ()
 
 
 class Routine:
-    """A running coroutine. `done` completes with its result."""
+    """A running coroutine. `done` is a Future of its result."""
 
     __slots__ = ("_awaited", "_cancelling", "_coro", "_loop", "done", "name")
 
@@ -143,7 +151,7 @@
             self.done.set(stop.value)
         except Cancelled:
             self.done.set(None)
-        except Exception as error:  # a fault in one routine must not end the service
+        except Exception as error:  # an error in one routine must not end the process
             log.exception("routine %s failed", self.name)
             self.done.fail(error)
         else:
@@ -151,6 +159,7 @@
             awaited.on_done(self._wake)
 
     def cancel(self):
+        """Raises Cancelled inside the coroutine in the next turn."""
         if self.done.done or self._cancelling:
             return
         self._cancelling = True
@@ -159,10 +168,12 @@
 
 
 class Loop:
-    """`on_stall(seconds)`, if set, is told when the process stood still for `stall_s` or longer
-    while its clock ran on. What lies in the sockets by then is read before any timer runs, so
-    that nobody is taken for silent, or late, for time in which we were not looking; meanwhile
-    `catching_up` holds, since nobody knows how old what is read there is.
+    """The event loop.
+
+    If set, `on_stall(seconds)` is called when the process was suspended for `stall_s` or longer while its
+    clock advanced. Data that has arrived in the sockets by then is read before any timer runs, so that no
+    peer is considered silent or late for a time in which this process did not read. `catching_up` is true
+    meanwhile, as the age of that data is unknown.
     """
 
     def __init__(self, clock=time.monotonic, selector=None):
@@ -173,14 +184,16 @@
         self._selected_at = clock()
         self.selector = selector if selector is not None else selectors.DefaultSelector()
         self._ready = deque()
-        self._timers = []  # heap of (when, number, Timer): numbers break ties
+        self._timers = []  # heap of (when, sequence number, Timer); the number breaks ties
         self._timer_count = 0
         self._running = False
 
     def call_soon(self, fn, *args):
+        """Calls `fn(*args)` in the next turn."""
         self._ready.append((fn, args))
 
     def call_at(self, when, fn, *args):
+        """Calls `fn(*args)` at the time `when` of the loop's clock. Returns the Timer."""
         timer = Timer(when, fn, args)
         self._push(timer)
         return timer
@@ -190,14 +203,17 @@
         heapq.heappush(self._timers, (timer.when, self._timer_count, timer))
 
     def call_later(self, delay, fn, *args):
+        """Calls `fn(*args)` after `delay` seconds. Returns the Timer."""
         return self.call_at(self.now() + delay, fn, *args)
 
     def spawn(self, coro, name="routine"):
+        """Starts a coroutine. Returns its Routine; `name` appears in logs."""
         routine = Routine(self, coro, name)
         self.call_soon(routine._step)
         return routine
 
     async def sleep(self, delay):
+        """Waits for `delay` seconds."""
         future = Future()
         timer = self.call_later(delay, future.set)
         try:
@@ -206,7 +222,7 @@
             timer.cancel()
 
     async def within(self, delay, future):
-        """Awaits `future`, at most `delay` seconds, else raises Timeout."""
+        """Awaits `future` for at most `delay` seconds and returns its result. Raises Timeout."""
         outcome = Future()
         timer = self.call_later(delay, outcome.fail, Timeout())
 
@@ -224,28 +240,31 @@
             timer.cancel()
 
     def stop(self):
+        """Makes `run` return after the current turn."""
         self._running = False
 
     def run(self):
+        """Runs turns until `stop` is called."""
         self._running = True
         while self._running:
             self.turn()
 
     def next_timer(self):
+        """Returns when the earliest active timer is due, or None."""
         timers = self._timers
         while timers and timers[0][2].fn is None:
             heapq.heappop(timers)
         return timers[0][0] if timers else None
 
     def turn(self):
-        """One turn: wait for events or the next timer, then run what is ready."""
+        """Runs one turn: waits for I/O events or the next timer, then runs what is ready."""
         timeout = 0.0
         if not self._ready:
             when = self.next_timer()
             timeout = None if when is None else max(0.0, when - self.now())
         events = self.selector.select(timeout)
         now = self.now()
-        # Late: the time that neither waiting nor a turn's work accounts for.
+        # The time that neither the wait for events nor the work of the last turn accounts for.
         late = now - self._selected_at - (timeout or 0.0) if timeout is not None else 0.0
         self._selected_at = now
         if self.on_stall is not None and late >= self.stall_s:
@@ -256,6 +275,7 @@
         self.run_due()
 
     def _catch_up(self, late, events):
+        """Reads all sockets until they are empty, then calls `on_stall`."""
         self.catching_up = True
         for _ in range(CATCH_UP_MOST):
             for key, mask in events:
@@ -269,6 +289,7 @@
         self._guard(self.on_stall, (late,))
 
     def run_due(self):
+        """Runs all timers that are due, then the ready callbacks."""
         timers = self._timers
         if timers:
             now = self.now()
@@ -288,9 +309,10 @@
     def _guard(fn, args):
         try:
             fn(*args)
-        except Exception:  # one faulty callback must not end the service
+        except Exception:  # an error in one callback must not end the process
             log.exception("callback %r failed", fn)
 
     @property
     def idle(self):
+        """Whether no callback is ready to run."""
         return not self._ready
--- a/roadhead/runtime/net.py
+++ b/roadhead/runtime/net.py
@@ -1,4 +1,4 @@
-"""Byte streams over non-blocking sockets. Tests put streams of their own in their place."""
+"""Byte streams over non-blocking sockets. Tests substitute streams of their own."""
 
 import errno
 import selectors
@@ -8,21 +8,25 @@
 
 READ = selectors.EVENT_READ
 WRITE = selectors.EVENT_WRITE
-CHUNK = 65536
-WRITE_LIMIT = 4 * 1024 * 1024
+CHUNK = 65536  # bytes per read from a socket
+WRITE_LIMIT = 4 * 1024 * 1024  # unsent bytes after which a connection is closed
 
 
 class Closed(Exception):
-    """The other side, or this one, closed the connection."""
+    """The connection was closed by the peer or locally."""
 
 
 def split(address):
+    """Splits HOST:PORT into (host, port)."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 class Stream:
-    """A connection: chunks in, bytes out. Written data is bounded; a reader that stalls is cut."""
+    """A connection for reading and writing bytes.
+
+    Unsent data is bounded: a peer that doesn't read is disconnected.
+    """
 
     def __init__(self, loop, sock):
         self._loop = loop
@@ -69,7 +73,7 @@
         self._mask = mask
 
     async def read(self):
-        """The next bytes; b"" once the other side closed."""
+        """Waits for data and returns it; b"" once the connection is closed."""
         while not self._chunks:
             if self._eof or self.closed:
                 return b""
@@ -82,6 +86,7 @@
         return data
 
     def write(self, data):
+        """Sends `data`, or queues what the socket doesn't take. Raises Closed."""
         if self.closed:
             raise Closed
         if not self._out:
@@ -116,6 +121,7 @@
             self._want(self._mask & ~WRITE)
 
     def close(self):
+        """Closes the connection and wakes the reader."""
         if self.closed:
             return
         if self._mask:
@@ -128,7 +134,7 @@
 
 
 class Net:
-    """Listens and connects. `stream`: the class of its connections."""
+    """Listens and connects. `stream` is the class of the connections it makes."""
 
     def __init__(self, loop, stream=Stream):
         self.loop = loop
@@ -136,6 +142,7 @@
         self._listeners = []
 
     def listen(self, address, on_stream):
+        """Calls `on_stream(stream)` for each connection to `address`. Raises OSError."""
         host, port = split(address)
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -161,14 +168,14 @@
         self.loop.selector.register(sock, READ, accept)
 
     def stop_listening(self):
-        """Takes no more connections; those that are open go on."""
+        """Closes the listening sockets. Open connections continue."""
         for sock in self._listeners:
             self.loop.selector.unregister(sock)
             sock.close()
         self._listeners.clear()
 
     async def connect(self, address, timeout):
-        """A stream to `address`; raises Closed or Timeout."""
+        """Returns a stream connected to `address`. Raises Closed or Timeout."""
         loop = self.loop
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
