--- a/roadhead/gateway/answers.py
+++ b/roadhead/gateway/answers.py
@@ -56,7 +56,7 @@
         return key
 
     def read(self, message_type):
-        """Decodes the body into a message of type `kind`. Raises Refused."""
+        """Decodes the body into a message of type `message_type`. Raises Refused."""
         media = self.headers.get("content-type", JSON).partition(";")[0].strip().lower()
         if media not in (JSON, CBOR):
             raise Refused(415, f"a body is {JSON} or {CBOR}")
@@ -73,7 +73,7 @@
             raise Refused(400, _without_values(str(error))) from None
 
     def count(self, name, default, maximum):
-        """Returns an integer query parameter from 1 to `most`. Raises Refused."""
+        """Returns an integer query parameter from 1 to `maximum`. Raises Refused."""
         text = self.query.get(name, str(default))
         if not (text.isascii() and text.isdigit() and 1 <= int(text[:9]) <= maximum):
             raise Refused(400, f"{name}: from 1 to {maximum}")
@@ -82,12 +82,14 @@
 
 def _without_values(text):
     """Removes input values from an msgspec error text: a value sent by mistake may be a secret."""
-    what, _, where = text.partition(" - at ")
-    what = re.sub(r"'[^']*'", "given", what)
-    if "unknown field" in what:
-        what = "Object contains an unknown field"
+    detail, _, where = text.partition(" - at ")
+    detail = re.sub(r"'[^']*'", "given", detail)
+    if "unknown field" in detail:
+        detail = "Object contains an unknown field"
     where = where.strip("`")
-    return f"{what[:200]} - at {where}" if re.fullmatch(r"\$[A-Za-z0-9_.\[\]]{0,100}", where) else what[:200]
+    return (
+        f"{detail[:200]} - at {where}" if re.fullmatch(r"\$[A-Za-z0-9_.\[\]]{0,100}", where) else detail[:200]
+    )
 
 
 def answer(status, value, media, headers=()):
--- a/roadhead/gateway/tenants_api.py
+++ b/roadhead/gateway/tenants_api.py
@@ -266,11 +266,16 @@
 
 def public_upstream_reason(number, text):
     """Returns a controller's reason against an upstream job, with the tenant's own id of that job."""
-    head, _, rest = (text or "").partition(" ")
-    job_id, _, what = rest.partition(" ")
+    prefix, _, rest = (text or "").partition(" ")
+    job_id, _, reason = rest.partition(" ")
     named = ids.from_job(job_id)
-    if head == "upstream:" and named is not None and named[0] == number and what in PUBLIC_UPSTREAM_REASONS:
-        return f"upstream: {named[1]} {what}"
+    if (
+        prefix == "upstream:"
+        and named is not None
+        and named[0] == number
+        and reason in PUBLIC_UPSTREAM_REASONS
+    ):
+        return f"upstream: {named[1]} {reason}"
     return "can never run"
 
 
--- a/roadhead/tenants/keys.py
+++ b/roadhead/tenants/keys.py
@@ -63,26 +63,26 @@
 
     def sign(self, method, target, body, now):
         """Returns the value of the header `roadhead-signature`."""
-        at = f"{now:.3f}"
-        return f"{at}:{self._mac(method, target, body, at)}"
+        timestamp = f"{now:.3f}"
+        return f"{timestamp}:{self._mac(method, target, body, timestamp)}"
 
     def signed(self, value, method, target, body, now):
         """Returns whether the request carries a gateway's valid signature.
 
         Replayed requests are harmless: submissions and cancellations are idempotent.
         """
-        at, colon, mac = (value or "").partition(":")
+        timestamp, colon, mac = (value or "").partition(":")
         try:
-            is_recent = colon and abs(now - float(at)) <= SIGNATURE_VALIDITY_S
+            is_recent = colon and abs(now - float(timestamp)) <= SIGNATURE_VALIDITY_S
         except ValueError:
             return False
         return bool(is_recent) and hmac.compare_digest(
-            mac.encode(), self._mac(method, target, body, at).encode()
+            mac.encode(), self._mac(method, target, body, timestamp).encode()
         )
 
-    def _mac(self, method, target, body, at):
-        head = f"{method}\n{target}\n{at}\n".encode()
-        return blake3(head + body, key=self._requests).hexdigest()
+    def _mac(self, method, target, body, timestamp):
+        header = f"{method}\n{target}\n{timestamp}\n".encode()
+        return blake3(header + body, key=self._requests).hexdigest()
 
 
 def split_key(text):
--- a/roadhead/tenants/preemption.py
+++ b/roadhead/tenants/preemption.py
@@ -94,9 +94,9 @@
                     count -= part
                 if not count:
                     break
-        for label, own in parts.items():
+        for label, requested in parts.items():
             self._count("reclaims")
-            self._send(label, frames.Reclaim(own))
+            self._send(label, frames.Reclaim(requested))
 
     # Owner of borrowed work
 
@@ -187,18 +187,18 @@
         for victim in tasks:
             team, job, _index, _binding = victim
             excess = left.setdefault(team, self._sharing.borrowed(team))
-            stopped = tuple(map(sum, zip(taken.get(team, NOTHING), job.need, strict=True)))
-            if stopped[0] > excess[0] + 1e-6 or stopped[1] > excess[1] + 1e-6:
+            to_stop = tuple(map(sum, zip(taken.get(team, NOTHING), job.need, strict=True)))
+            if to_stop[0] > excess[0] + 1e-6 or to_stop[1] > excess[1] + 1e-6:
                 continue
-            taken[team] = stopped
+            taken[team] = to_stop
             chosen.append(victim)
             room = tuple(map(sum, zip(room, job.need, strict=True)))
             if fits(need, room):
                 break
         if not fits(need, room):
             return 0  # not enough on this machine: none of its tasks stops
-        for team, stopped in taken.items():
-            left[team] = tuple(part - own for part, own in zip(left[team], stopped, strict=True))
+        for team, to_stop in taken.items():
+            left[team] = tuple(part - own for part, own in zip(left[team], to_stop, strict=True))
         for victim in chosen:
             victims.remove(victim)
             self._stop(*victim[1:])
--- a/roadhead/tenants/records.py
+++ b/roadhead/tenants/records.py
@@ -128,15 +128,15 @@
     def _contradictions(self):
         """Yields violations between fields that are valid on their own."""
         for kind in ("cpus", "gpus"):
-            most = getattr(self.limits, kind)
-            sure = 0.0
+            limit = getattr(self.limits, kind)
+            guaranteed = 0.0
             for team in self.teams:
-                own, own_most = getattr(team, kind), getattr(team, f"{kind}_max")
-                sure += own
-                if own_most and own > own_most:
-                    yield f"teams.{team.name}.{kind}: the guarantee {own:g} is above the limit {own_most:g}"
-            if most and sure > most:
-                yield f"limits.{kind}: the teams' guarantees, {sure:g}, are above the limit {most:g}"
+                own, own_limit = getattr(team, kind), getattr(team, f"{kind}_max")
+                guaranteed += own
+                if own_limit and own > own_limit:
+                    yield f"teams.{team.name}.{kind}: the guarantee {own:g} is above the limit {own_limit:g}"
+            if limit and guaranteed > limit:
+                yield f"limits.{kind}: the teams' guarantees, {guaranteed:g}, are above the limit {limit:g}"
         if not self.limits.submissions:
             yield "limits.submissions: must be above 0"
 
