--- a/roadhead/api/cancellation_writer.py
+++ b/roadhead/api/cancellation_writer.py
@@ -3,11 +3,11 @@
 from itertools import islice
 from typing import NamedTuple
 
-from roadhead.jobs.job import FINAL, KEY, closing
+from roadhead.jobs.job import FINAL, KEY, cancelled_record
 from roadhead.jobs.records import find
 from roadhead.pipelines.ancestry import CANCELS
 from roadhead.runtime.loop import Future
-from roadhead.state.client import Conflict, Unavailable, Unsure
+from roadhead.state.client import ConflictError, UnavailableError, UnknownOutcomeError
 
 MARK_PREFIX = "c/x/"
 WRITES_PER_JOB = 2  # the final record and the cancellation mark; all jobs share the write to CANCELS
@@ -118,7 +118,7 @@
     async def _read_one(self, job_id, future, records):
         try:
             record, stamp = await find(self._state, job_id)
-        except (Unavailable, Unsure) as error:
+        except (UnavailableError, UnknownOutcomeError) as error:
             future.fail(error)
             return
         if record is None or record["s"] in FINAL:
@@ -127,7 +127,7 @@
             records[job_id] = record, stamp
 
     async def _write(self, batch, records):
-        final = {job_id: closing(record) for job_id, (record, _stamp) in records.items()}
+        final = {job_id: cancelled_record(record) for job_id, (record, _stamp) in records.items()}
         writes = [{"put": CANCELS, "data": next(iter(final))}]
         for job_id, record in final.items():
             writes += [{"put": KEY + job_id, "data": record}, {"put": MARK_PREFIX + job_id, "data": True}]
@@ -135,9 +135,9 @@
             revision = await self._state.multi(
                 [(KEY + job_id, stamp) for job_id, (_record, stamp) in records.items()], writes
             )
-        except Conflict as conflict:
+        except ConflictError as conflict:
             self._handle_conflict({job_id: batch[job_id] for job_id in final}, conflict)
-        except (Unavailable, Unsure) as error:
+        except (UnavailableError, UnknownOutcomeError) as error:
             for job_id in final:
                 batch[job_id].fail(error)
         else:
@@ -161,5 +161,5 @@
     """Completes `future` with the result or error of `source`."""
     try:
         future.set(source.result())
-    except (Conflict, Unavailable, Unsure) as error:
+    except (ConflictError, UnavailableError, UnknownOutcomeError) as error:
         future.fail(error)
--- a/roadhead/api/job_states.py
+++ b/roadhead/api/job_states.py
@@ -13,7 +13,7 @@
 
     def final(self, job_id):
         """Returns the Answer for a job known here to have ended, without reading its record, or None."""
-        record = self._node.book.finals.get(job_id)
+        record = self._node.job_store.final_records.get(job_id)
         return None if record is None else self.final_answer(job_id, record)
 
     def final_answer(self, job_id, record):
@@ -30,7 +30,7 @@
         """Notifies the shard leaders of a cancellation before the user hears of it."""
         if not self._node.member.joined:
             raise RefusedError(Cause.NOT_A_MEMBER)
-        self._node.cancelled([job_id])
+        self._node.announce_cancelled([job_id])
 
     async def read(self, job_id):
         """Returns the Answer for the job's current record, or None. Raises one of UNCERTAIN_ERRORS."""
@@ -40,10 +40,10 @@
     def answer(self, job_id, record):
         """Returns the Answer for a record just read, with live task counts of a job owned here."""
         if record["s"] in FINAL:
-            self._node.book.remember(job_id, record)
+            self._node.job_store.remember_final(job_id, record)
             return self.final_answer(job_id, record)
-        self._node.takeover.seen(job_id, record)
-        job = self._node.book.jobs.get(job_id)
+        self._node.failover.on_record_read(job_id, record)
+        job = self._node.job_store.jobs.get(job_id)
         if job is None or job.state != "open":
             return Answer(200, answer(record, job_id))
         return Answer(200, messages.job_status(job_id, job.status(), job.done.count, job.running()))
--- a/roadhead/api/readiness.py
+++ b/roadhead/api/readiness.py
@@ -26,7 +26,9 @@
 
     def lacks_for_submission(self):
         """Returns the Cause for which submissions can't be decided yet, or None."""
-        return self.lacks_membership() or (None if self._node.home.known.types else Cause.TYPES_UNKNOWN)
+        return self.lacks_membership() or (
+            None if self._node.shard_leader.registry.types else Cause.TYPES_UNKNOWN
+        )
 
     def check_state(self):
         """Raises RefusedError if the state service has answered nothing for as long as requests may wait.
@@ -37,7 +39,7 @@
             raise RefusedError(Cause.STATE_UNAVAILABLE)
 
     def _state_fails(self):
-        return self._node.state.failing_s() > self._patience_s
+        return self._node.state.failing_for_s() > self._patience_s
 
     def changed(self):
         """Wakes waiting requests: this controller has joined, or learned the machine types."""
--- a/roadhead/api/server.py
+++ b/roadhead/api/server.py
@@ -10,8 +10,8 @@
     WRONG_METHOD,
     Answer,
     Cause,
-    Question,
     RefusedError,
+    RequestKind,
     counter_of,
     refusal_of,
 )
@@ -43,8 +43,8 @@
 class Api:
     """Serves HTTP connections.
 
-    `node`: the controller's Node; `sockets`: its admission/sockets.py; `create_s`: how long to wait for a
-    job's creation; `patience_s`: how long a request that has begun may take to arrive completely.
+    `node`: the controller's Node; `sockets`: its admission/socket_budget.py; `create_s`: how long to wait for
+    a job's creation; `patience_s`: how long a request that has begun may take to arrive completely.
     """
 
     def __init__(self, loop, node, sockets, create_s, patience_s):
@@ -80,15 +80,15 @@
         try:
             await http.serve(self._loop, stream, handle, self._patience_s)
         finally:
-            self._sockets.gone(worker)
+            self._sockets.release(worker)
 
     # Routing
 
     async def _handle(self, request):
         """Returns the Answer to a request."""
         path = request.target.partition("?")[0]
-        desk = self._node.desk
-        if desk is not None and path not in OPEN_PATHS and not desk.signed(request):
+        tenant_admission = self._node.tenant_admission
+        if tenant_admission is not None and path not in OPEN_PATHS and not tenant_admission.signed(request):
             return UNSIGNED
         if path == JOBS_PATH or path.startswith(JOBS_PATH + "/"):
             answer = await self._answer_user(request.method, path, request.body)
@@ -96,14 +96,14 @@
                 # The load balancer avoids this controller for new connections only, so close this one.
                 request.close = True
             return answer
-        if self._node.member.gate.outdated:
+        if self._node.member.format_gate.is_outdated:
             return NEWER_FORMAT.answer()
         if (
-            desk is not None
+            tenant_admission is not None
             and path.startswith(TENANT_USAGE_PATH)
             and path[len(TENANT_USAGE_PATH) :].isdigit()
         ):
-            return Answer(200, desk.usage(int(path[len(TENANT_USAGE_PATH) :])))
+            return Answer(200, tenant_admission.usage(int(path[len(TENANT_USAGE_PATH) :])))
         return self._answer_operator(request.method, path, request.body)
 
     def _answer_operator(self, method, path, body):
@@ -133,18 +133,18 @@
     # Users
 
     async def _submit(self, body):
-        return await self._answer_or_refuse(Question.SUBMISSION, self._submissions.answer, body)
+        return await self._answer_or_refuse(RequestKind.SUBMISSION, self._submissions.answer, body)
 
     async def _poll(self, job_id):
-        return await self._answer_or_refuse(Question.POLL, self._polls.answer, job_id)
+        return await self._answer_or_refuse(RequestKind.POLL, self._polls.answer, job_id)
 
     async def _cancel(self, job_id):
-        return await self._answer_or_refuse(Question.CANCELLATION, self._cancellations.answer, job_id)
+        return await self._answer_or_refuse(RequestKind.CANCELLATION, self._cancellations.answer, job_id)
 
     async def _answer_or_refuse(self, question, answer, argument):
         """Returns `answer(argument)`, or 503 if the result is uncertain (docs/design.md, safety rule 5)."""
         try:
-            if self._node.member.gate.outdated:
+            if self._node.member.format_gate.is_outdated:
                 raise NEWER_FORMAT
             return await answer(argument)
         except UNCERTAIN_ERRORS as error:
--- a/roadhead/gateway/controllers.py
+++ b/roadhead/gateway/controllers.py
@@ -5,7 +5,7 @@
 from roadhead.gateway.answers import NOT_SURE
 from roadhead.runtime.loop import Timeout
 from roadhead.wire import messages
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 log = logging.getLogger("roadhead.controllers")
 
@@ -33,7 +33,7 @@
         """
         labels = list(self._clients)
         self._random.shuffle(labels)
-        quota_leader = self._term().warden(str(number))
+        quota_leader = self._term().quota_leader(str(number))
         now = self._loop.now()
         labels.sort(
             key=lambda label: (self._deprioritized_until.get(label, 0.0) > now, label != quota_leader)
@@ -61,7 +61,7 @@
             timeout = left * (0.5 if attempt < MAX_ATTEMPTS - 1 else 1.0)
             try:
                 status, answer, headers = await self._ask(label, method, target, body, timeout)
-            except (NoAnswer, Timeout, messages.Invalid) as error:
+            except (NoResponseError, Timeout, messages.InvalidMessageError) as error:
                 log.debug("%s: %r", label, error)
                 self._deprioritized_until[label] = self._loop.now() + DEPRIORITIZE_S
                 continue
@@ -80,6 +80,6 @@
         """Returns one controller's answer, or None."""
         try:
             status, answer, _headers = await self._ask(label, "GET", target, b"", within_s)
-        except (NoAnswer, Timeout, messages.Invalid):
+        except (NoResponseError, Timeout, messages.InvalidMessageError):
             return None
         return answer if status == 200 else None
--- a/roadhead/gateway/routes.py
+++ b/roadhead/gateway/routes.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from roadhead import __version__
-from roadhead.gateway.answers import Refused
+from roadhead.gateway.answers import ProblemError
 from roadhead.gateway.types import Problem
 
 
@@ -49,7 +49,7 @@
                 if route.method == request.method:
                     return route, values
                 path_exists = True
-        raise Refused(
+        raise ProblemError(
             405 if path_exists else 404, "no such path" if not path_exists else "not with this method"
         )
 
--- a/roadhead/gateway/tenants_api.py
+++ b/roadhead/gateway/tenants_api.py
@@ -1,13 +1,13 @@
 """The tenants' API: a tenant's jobs, by its own job ids. Answers contain nothing about other tenants."""
 
-from roadhead.gateway.answers import NOT_SURE, UNKNOWN_KEY, Refused
+from roadhead.gateway.answers import NOT_SURE, UNKNOWN_KEY, ProblemError
 from roadhead.gateway.routes import Route, Routes
 from roadhead.gateway.types import ClassRow, Job, JobPage, Submission, TeamUse, Usage
-from roadhead.jobs.job import FINAL, KEY, SHELF
-from roadhead.state.client import Unavailable, Unsure
+from roadhead.jobs.job import ARCHIVE, FINAL, KEY
+from roadhead.state.client import UnavailableError, UnknownOutcomeError
 from roadhead.tenants import admission, ids
 from roadhead.tenants.keys import split_key
-from roadhead.tenants.records import ADMINISTRATORS, key_of
+from roadhead.tenants.records import ADMINISTRATORS, tenant_key
 from roadhead.wire import messages
 
 DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE = 100, 500
@@ -22,8 +22,8 @@
     admission.TOO_MANY_JOBS,
     admission.TOO_MANY_TASKS,
     admission.TOO_MUCH_AT_ONCE,
-    admission.RESTING.text,
-    admission.GONE.text,
+    admission.SUSPENDED_REFUSAL.text,
+    admission.REMOVED_REFUSAL.text,
 )
 
 ROUTES = Routes(
@@ -100,13 +100,13 @@
         if entry.tenant.number == ADMINISTRATORS:
             raise UNKNOWN_KEY  # administrators have no jobs
         if route.scope not in key.scopes:
-            raise Refused(403, f"the key's scopes do not hold {route.scope!r}")
+            raise ProblemError(403, f"the key's scopes do not hold {route.scope!r}")
         number = entry.tenant.number
         if "id" in values:
             try:
                 job_id = ids.to_job(number, values["id"])
             except ValueError:
-                raise Refused(404, "no such job") from None
+                raise ProblemError(404, "no such job") from None
         if route.name == "submit":
             return await self._submit(entry, request)
         if route.name == "list":
@@ -127,7 +127,7 @@
         """
         try:
             return authenticate(self._table, self._secrets, text, self._time_of_day())
-        except Refused:
+        except ProblemError:
             if (named := split_key(text)) is None:
                 raise
         await self._read_tenant(named[0])
@@ -139,13 +139,13 @@
             raise NOT_SURE
         self._reading += 1
         try:
-            record, stamp = await self._state.get(key_of(number))
-        except (Unavailable, Unsure):
+            record, stamp = await self._state.get(tenant_key(number))
+        except (UnavailableError, UnknownOutcomeError):
             raise NOT_SURE from None
         finally:
             self._reading -= 1
         if record is not None:
-            self._table.take(key_of(number), record, stamp)
+            self._table.take(tenant_key(number), record, stamp)
 
     async def _ask_about_job(self, number, own, method, target, within_s, body=b""):
         """Asks a controller about the tenant's job. Returns (status, Job). Raises Refused."""
@@ -156,12 +156,12 @@
             return status, Job(own, answer["status"], answer.get("done"), answer.get("running"))
         text = answer.get("error")
         if status == 404:
-            raise Refused(404, "no such job")
+            raise ProblemError(404, "no such job")
         if status == 422:
-            raise Refused(422, text if text in PUBLIC_REASONS else public_upstream_reason(number, text))
+            raise ProblemError(422, text if text in PUBLIC_REASONS else public_upstream_reason(number, text))
         if status in (403, 410, 429) and text in PUBLIC_REFUSALS:
             wait = headers.get("retry-after", "1")
-            raise Refused(status, text, int(wait) if status == 429 and wait.isdigit() else None)
+            raise ProblemError(status, text, int(wait) if status == 429 and wait.isdigit() else None)
         raise NOT_SURE
 
     async def _submit(self, entry, request):
@@ -169,19 +169,19 @@
         submission = request.read(Submission)
         number = tenant.number
         job_id = ids.to_job(number, submission.id)
-        state_refused = admission.standing(tenant)
+        state_refused = admission.state_refusal(tenant)
         if state_refused is not None:
             try:  # a retry of a job that was accepted earlier is answered with its state
                 return await self._ask_about_job(number, submission.id, "GET", f"/v1/jobs/{job_id}", 2.0)
-            except Refused as refused:
+            except ProblemError as refused:
                 if refused.status != 404:
                     raise
-            raise Refused(*state_refused)
+            raise ProblemError(*state_refused)
         refusal = self._rates.take(tenant)
         if refusal is not None:
-            raise Refused(*refusal)
+            raise ProblemError(*refusal)
         if tenant.team(submission.team) is None:
-            raise Refused(422, "unknown team")
+            raise ProblemError(422, "unknown team")
         body = messages.encode(submission.to_protocol(job_id, number))
         return await self._ask_about_job(number, submission.id, "POST", "/v1/jobs", REQUEST_TIMEOUT_S, body)
 
@@ -190,7 +190,7 @@
         limit = request.count("limit", DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE)
         state = request.query.get("state")
         if state not in (None, "open", *FINAL):
-            raise Refused(400, "state: open, done or cancelled")
+            raise ProblemError(400, "state: open, done or cancelled")
         wanted = {name: request.query.get(name) for name in ("class", "team")}
         place, after = self._parse_cursor(number, request.query.get("after", ""))
         found = []
@@ -199,7 +199,7 @@
             prefix = place + ids.prefix(number)
             try:
                 items, more, _revision = await self._state.page(prefix, after, MAX_PAGE_SIZE)
-            except (Unavailable, Unsure):
+            except (UnavailableError, UnknownOutcomeError):
                 raise NOT_SURE from None
             for key, record, _stamp in items:
                 after = key
@@ -215,9 +215,9 @@
                 if len(found) == limit:
                     return JobPage(found, self._next_cursor(place, after))
             if not more:
-                if place == SHELF:
+                if place == ARCHIVE:
                     return JobPage(found, None)
-                place, after = SHELF, ""
+                place, after = ARCHIVE, ""
         return JobPage(found, self._next_cursor(place, after))
 
     @staticmethod
@@ -232,12 +232,12 @@
         if not text:
             return KEY, ""
         place, dot, own = text.partition(".")
-        if f"{place}/" not in (KEY, SHELF) or not dot:
-            raise Refused(400, "after: what a page gave as next")
+        if f"{place}/" not in (KEY, ARCHIVE) or not dot:
+            raise ProblemError(400, "after: what a page gave as next")
         try:
             return f"{place}/", f"{place}/{ids.to_job(number, own)}" if own else ""
         except ValueError:
-            raise Refused(400, "after: what a page gave as next") from None
+            raise ProblemError(400, "after: what a page gave as next") from None
 
     async def usage(self, entry):
         """Returns the tenant's Usage, summed over all controllers that answer."""
--- a/roadhead/tenants/admission.py
+++ b/roadhead/tenants/admission.py
@@ -28,25 +28,25 @@
     retry_after: int | None = None
 
 
-GONE = Refusal(410, "the tenant is removed")
-RESTING = Refusal(403, "the tenant is suspended")
+REMOVED_REFUSAL = Refusal(410, "the tenant is removed")
+SUSPENDED_REFUSAL = Refusal(403, "the tenant is suspended")
 TOO_FAST = "more submissions than the tenant's rate allows"
 TOO_MANY_JOBS = "as many open jobs as the tenant may have"
 TOO_MANY_TASKS = "as many waiting tasks as the tenant may have"
 TOO_MUCH_AT_ONCE = "more submissions at once than can be written in time"
-NOT_KNOWN = Refusal(503, "not able to say now", 1)
+UNKNOWN_REFUSAL = Refusal(503, "not able to say now", 1)
 
 
-def standing(tenant):
+def state_refusal(tenant):
     """Returns the Refusal if the tenant's state doesn't allow submissions, else None."""
     if tenant.state in (REMOVING, REMOVED):
-        return GONE
+        return REMOVED_REFUSAL
     if tenant.state == SUSPENDED:
-        return RESTING
-    return None if tenant.state == ACTIVE else NOT_KNOWN
+        return SUSPENDED_REFUSAL
+    return None if tenant.state == ACTIVE else UNKNOWN_REFUSAL
 
 
-def full(limits, open_jobs, waiting_tasks, tasks):
+def limit_refusal(limits, open_jobs, waiting_tasks, tasks):
     """Returns the Refusal if one more job with `tasks` tasks exceeds the tenant's limits, else None."""
     if limits.open_jobs and open_jobs >= limits.open_jobs:
         return Refusal(429, TOO_MANY_JOBS, LIMIT_RETRY_S)
@@ -55,7 +55,7 @@
     return None
 
 
-def crowded(creating, max_creations, within):
+def creation_refusal(creating, max_creations, within):
     """Returns the Refusal if a tenant has too many creations in progress, else None.
 
     The remaining ones are left to other tenants. Work `within` its team's guarantee may take half of all.
--- a/roadhead/tenants/desk.py
+++ b/roadhead/tenants/admission_controller.py
@@ -5,14 +5,14 @@
 
 import logging
 
-from roadhead.homes.machine import NOTHING, times
+from roadhead.machines.machine import NO_RESOURCES, fitting_count
 from roadhead.tenants import admission, ids
 from roadhead.tenants.keys import Secrets
 from roadhead.tenants.preemption import Preemption
-from roadhead.tenants.records import ACTIVE, key_of
+from roadhead.tenants.records import ACTIVE, tenant_key
 from roadhead.tenants.removal import Removal
-from roadhead.tenants.table import Table
-from roadhead.tenants.teams import Sharing, TenantTeams
+from roadhead.tenants.table import TenantTable
+from roadhead.tenants.teams import FairShare, TenantTeams
 from roadhead.wire import frames, messages
 
 log = logging.getLogger("roadhead.desk")
@@ -23,16 +23,16 @@
 WHOLE_FLEET_WINDOWS = 1e6  # windows in the queue order that correspond to borrowing the whole fleet
 
 
-class Desk:
+class TenantAdmissionController:
     """Admits tenants' submissions and connects a controller's parts to the table of tenants."""
 
     def __init__(self, loop, hosted, time_of_day):
         self._loop = loop
         self._hosted = hosted
         self._time_of_day = time_of_day
-        self.slots = hosted.slots
+        self.partitions = hosted.slots
         self.left_of = hosted.left_of
-        self.table = Table(self._on_change)
+        self.table = TenantTable(self._on_change)
         self.teams = TenantTeams(self.table)
         self.secrets = Secrets(hosted.master)
         self._rates = admission.Rates(loop)
@@ -50,9 +50,9 @@
         """Makes a new incarnation's queue follow guarantees and weights."""
         workers = node.settings.deployment.workers
         window_s = workers.lease_s
-        sharing = Sharing(
+        fair_share = FairShare(
             self.teams,
-            node.book.accounts,
+            node.job_store.accounts,
             node.fleet.totals,
             BORROWING_START_WINDOWS * window_s,
             WHOLE_FLEET_WINDOWS * window_s,
@@ -60,23 +60,25 @@
         self._preemption = Preemption(
             self._loop,
             node.member,
-            node.book,
-            sharing,
+            node.job_store,
+            fair_share,
             node.send,
             node.counters,
-            node.dispatcher.changed,
+            node.dispatcher.schedule_placement,
             patience_s=self._hosted.patience * workers.report_s,
             settle_s=workers.lease_s / 4,
         )
-        node.dispatcher.queue.sharing = sharing
+        node.dispatcher.queue.fair_share = fair_share
         if self._hosted.preempt:
             node.dispatcher.preemption = self._preemption
 
     def handlers(self):
         """Returns {frame class: handler} of the frames about borrowed resources."""
         return {
-            frames.Borrowed: lambda label, _incarnation, frame: self._preemption.on_borrowed(label, frame),
-            frames.Reclaim: lambda _label, _incarnation, frame: self._preemption.on_reclaim(frame),
+            frames.BorrowedResources: lambda label, _incarnation, frame: self._preemption.on_borrowed(
+                label, frame
+            ),
+            frames.ReclaimResources: lambda _label, _incarnation, frame: self._preemption.on_reclaim(frame),
         }
 
     # Changes of tenants and terms
@@ -87,11 +89,11 @@
         tenant = new.tenant
         group = str(tenant.number)
         if self.teams.stopping(group):
-            self._node.book.stop_group(group)
+            self._node.job_store.stop_group(group)
         self._removal.note(tenant)
         if old is not None and tenant.state != old.tenant.state:
             log.info("tenant %d is %s", tenant.number, tenant.state)
-        self._node.dispatcher.changed()
+        self._node.dispatcher.schedule_placement()
 
     def on_term(self):
         """The membership term has changed."""
@@ -104,9 +106,9 @@
         running.
         """
         self._preemption.tell()
-        for group in self._node.book.accounts.groups() if every % 6 == 0 else ():
+        for group in self._node.job_store.accounts.groups() if every % 6 == 0 else ():
             if self.teams.stopping(group):
-                self._node.book.stop_group(group)
+                self._node.job_store.stop_group(group)
 
     # Guards of job creations (jobs/recorder.py)
 
@@ -119,8 +121,8 @@
         number, _team = ids.from_team(job.spec.team)
         entry = self.table.entry(number)
         if entry is None or entry.tenant.state != ACTIVE:
-            return key_of(number), NO_RECORD_STAMP
-        return key_of(number), entry.stamp
+            return tenant_key(number), NO_RECORD_STAMP
+        return tenant_key(number), entry.stamp
 
     def later(self, job):
         """Returns whether the job exceeds its team's guarantee: such jobs are written after those within."""
@@ -131,9 +133,9 @@
         team = self.teams.get(spec.team)
         if team is None:
             return False
-        account = self._node.book.accounts.get(spec.team)
-        held = account.held if account is not None else NOTHING
-        return times((spec.cpus, spec.gpus), (team.cpus - held[0], team.gpus - held[1])) > 0
+        account = self._node.job_store.accounts.get(spec.team)
+        held = account.held if account is not None else NO_RESOURCES
+        return fitting_count((spec.cpus, spec.gpus), (team.cpus - held[0], team.gpus - held[1])) > 0
 
     def changed(self, key, record, stamp):
         """Takes the current value of a guard's key. Returns whether creations under it must fail."""
@@ -164,33 +166,35 @@
 
         return own
 
-    def refusal(self, spec, most_creating):
+    def refusal(self, spec, max_creations):
         """Returns why a submission of a job unknown here is refused now, or None."""
         node = self._node
         member = node.member
         if self._loop.now() - member.watched_at > self._hosted.stale_s:
-            return admission.NOT_KNOWN  # the tenant may have been suspended or removed meanwhile
+            return admission.UNKNOWN_REFUSAL  # the tenant may have been suspended or removed meanwhile
         entry, team = self.table.team(spec.team)
         if team is None:
-            return admission.NOT_KNOWN
+            return admission.UNKNOWN_REFUSAL
         tenant = entry.tenant
-        state_refused = admission.standing(tenant)
+        state_refused = admission.state_refusal(tenant)
         if state_refused is not None:
             return state_refused
         group = str(tenant.number)
-        creations_refused = admission.crowded(node.book.creating(group), most_creating, self._within(spec))
+        creations_refused = admission.creation_refusal(
+            node.job_store.count_creating(group), max_creations, self._within(spec)
+        )
         if creations_refused is not None:
             return creations_refused
-        if member.term.warden(group) == member.label:
-            account = node.book.accounts.get(group)
+        if member.term.quota_leader(group) == member.label:
+            account = node.job_store.accounts.get(group)
             if account is not None:
                 waiting = self._waiting_of(group, account)
                 jobs_awaiting_upstream = sum(
                     count
-                    for team, count in node.book.line.waits.by_team.items()
+                    for team, count in node.job_store.dependency_queue.dependencies.by_team.items()
                     if self.teams.group(team) == group
                 )
-                refused = admission.full(
+                refused = admission.limit_refusal(
                     tenant.limits, len(account.jobs) + jobs_awaiting_upstream, waiting, spec.tasks
                 )
                 if refused is not None:
@@ -218,18 +222,18 @@
         teams = {}
         rows = []
         if entry is not None:
-            account = node.book.accounts.get(str(number))
+            account = node.job_store.accounts.get(str(number))
             jobs = account.jobs if account is not None else ()
             for name, team in entry.teams.items():
-                held = node.book.accounts.get(name)
+                held = node.job_store.accounts.get(name)
                 if held is not None:
                     teams[team.name] = [*held.held, held.tasks, len(held.jobs), held.waiting()]
-            rows = node.risk.rows_of(jobs, self._time_of_day())
-        is_quota_leader = node.member.joined and node.member.term.warden(str(number)) == node.label
+            rows = node.deadline_tracker.rows_of(jobs, self._time_of_day())
+        is_quota_leader = node.member.joined and node.member.term.quota_leader(str(number)) == node.label
         return messages.encode(
             {
                 "teams": teams,
                 "classes": rows,
-                "warden": bool(is_quota_leader and node.book.quota.knows_all(str(number))),
+                "warden": bool(is_quota_leader and node.job_store.quota.knows_all(str(number))),
             }
         )
--- a/roadhead/tenants/preemption.py
+++ b/roadhead/tenants/preemption.py
@@ -11,8 +11,8 @@
 
 import logging
 
-from roadhead.dispatch.headroom import Part, SharedHeadroom
-from roadhead.homes.machine import NOTHING, fits, times
+from roadhead.dispatch.headroom import SharedHeadroom, WaitingTasks
+from roadhead.machines.machine import NO_RESOURCES, fits, fitting_count
 from roadhead.wire import frames
 
 log = logging.getLogger("roadhead.preemption")
@@ -26,11 +26,13 @@
     Tasks wait `patience_s` before resources are reclaimed, and `settle_s` before they are reclaimed again.
     """
 
-    def __init__(self, loop, member, book, sharing, send, counters, schedule_pass, patience_s, settle_s):
+    def __init__(
+        self, loop, member, job_store, fair_share, send, counters, schedule_pass, patience_s, settle_s
+    ):
         self._loop = loop
         self._member = member
-        self._book = book
-        self._sharing = sharing
+        self._job_store = job_store
+        self._sharing = fair_share
         self._send = send
         self._count = counters.add
         self._schedule_pass = schedule_pass  # () -> None: schedules another placing pass
@@ -52,8 +54,11 @@
         self._reclaimed = {job: asked for job, asked in self._reclaimed.items() if job in waiting}
         rows = {}
         soonest = None
-        parts = [Part(job, job.sure, job.rank, job.place, startable=True) for job in jobs]
-        SharedHeadroom(self._book.quota).share(parts)
+        parts = [
+            WaitingTasks(job, job.within_guarantee, job.rank, job.queue_position, startable=True)
+            for job in jobs
+        ]
+        SharedHeadroom(self._job_store.quota).share(parts)
         for part in parts:
             job = part.job
             left = self._waiting_since[job] + self._patience_s - now
@@ -67,7 +72,7 @@
                 continue
             self._reclaimed[job] = (now + self._settle_s, part.within)
             spec = job.spec
-            key = (*job.need, spec.spot, spec.zone or "", tuple(spec.types or ()))
+            key = (*job.resources, spec.spot, spec.zone or "", tuple(spec.types or ()))
             rows[key] = rows.get(key, 0) + count
         if soonest is not None and self._timer is None:
             self._timer = self._loop.call_later(soonest, self._on_timer)
@@ -85,7 +90,7 @@
         for (*need, spot, zone, types), count in rows:
             for label in sorted(left, key=lambda label: left[label], reverse=True):
                 # Owners report all that they borrow; part of it may be on machines that don't fit.
-                part = min(count, times(need, left[label]))
+                part = min(count, fitting_count(need, left[label]))
                 if part > 0:
                     parts.setdefault(label, []).append((*need, part, spot, zone, list(types)))
                     left[label] = tuple(
@@ -96,7 +101,7 @@
                     break
         for label, requested in parts.items():
             self._count("reclaims")
-            self._send(label, frames.Reclaim(requested))
+            self._send(label, frames.ReclaimResources(requested))
 
     # Owner of borrowed work
 
@@ -106,14 +111,14 @@
 
     def tell(self):
         """Broadcasts what is borrowed here, with each heartbeat."""
-        total = NOTHING
-        for group in self._book.accounts.groups():
-            for team in self._book.accounts.get(group).teams:
+        total = NO_RESOURCES
+        for group in self._job_store.accounts.groups():
+            for team in self._job_store.accounts.get(group).teams:
                 total = tuple(map(sum, zip(total, self._sharing.borrowed(team), strict=True)))
         labels = self._member.term.members
         self._borrowed = {label: held for label, held in self._borrowed.items() if label in labels}
         for label in labels:
-            self._send(label, frames.Borrowed(*total))
+            self._send(label, frames.BorrowedResources(*total))
         now = self._loop.now()
         self._stopping = {key: until for key, until in self._stopping.items() if until > now}
 
@@ -128,7 +133,7 @@
 
         Each is a (team, job, index, binding).
         """
-        accounts = self._book.accounts
+        accounts = self._job_store.accounts
         found = []
         now = self._loop.now()
         for group in accounts.groups():
@@ -182,17 +187,17 @@
 
         Returns how many of the waiting tasks fit there, 0 if nothing was stopped.
         """
-        chosen, room = [], NOTHING
+        chosen, room = [], NO_RESOURCES
         taken = {}  # team -> resources of its tasks that would stop
         for victim in tasks:
             team, job, _index, _binding = victim
             excess = left.setdefault(team, self._sharing.borrowed(team))
-            to_stop = tuple(map(sum, zip(taken.get(team, NOTHING), job.need, strict=True)))
+            to_stop = tuple(map(sum, zip(taken.get(team, NO_RESOURCES), job.resources, strict=True)))
             if to_stop[0] > excess[0] + 1e-6 or to_stop[1] > excess[1] + 1e-6:
                 continue
             taken[team] = to_stop
             chosen.append(victim)
-            room = tuple(map(sum, zip(room, job.need, strict=True)))
+            room = tuple(map(sum, zip(room, job.resources, strict=True)))
             if fits(need, room):
                 break
         if not fits(need, room):
@@ -202,10 +207,10 @@
         for victim in chosen:
             victims.remove(victim)
             self._stop(*victim[1:])
-        return times(need, room)
+        return fitting_count(need, room)
 
     def _stop(self, job, index, binding):
         self._count("tasks_preempted")
         key = (job.id, index, binding.attempt)
         self._stopping[key] = self._loop.now() + self._settle_s + job.spec.save_s
-        self._book.stop(job, index, binding)
+        self._job_store.stop(job, index, binding)
--- a/roadhead/tenants/records.py
+++ b/roadhead/tenants/records.py
@@ -27,7 +27,7 @@
 MAX_REQUESTS_KEPT = 8  # latest idempotency keys kept in a record to recognize repeated changes
 
 
-class Contradiction(Exception):
+class InvalidTenantError(Exception):
     """A record violates a constraint. `faults` has one line per violation; they are sent to the client."""
 
     def __init__(self, faults):
@@ -123,7 +123,7 @@
         if not faults:
             faults += self._contradictions()
         if faults:
-            raise Contradiction(faults)
+            raise InvalidTenantError(faults)
 
     def _contradictions(self):
         """Yields violations between fields that are valid on their own."""
@@ -153,7 +153,7 @@
             size = len(msgspec.json.encode(version))
             if size <= largest:
                 return version
-        raise Contradiction(
+        raise InvalidTenantError(
             [f"the record would take {size} bytes, the state service takes {largest}: fewer teams or keys"]
         )
 
@@ -182,7 +182,7 @@
         """
         keys = [key for key in self.keys if not key.until or now < key.until]
         if len(keys) >= MAX_KEYS:
-            raise Contradiction([f"keys: at most {MAX_KEYS}"])
+            raise InvalidTenantError([f"keys: at most {MAX_KEYS}"])
         key = Key(self.next_key, digest, scopes, label, request=request or "")
         return self.changed(request, keys=[*keys, key], next_key=self.next_key + 1), key
 
@@ -211,7 +211,7 @@
 }
 
 
-def transit(tenant, verb, request=None, running=FINISH):
+def transition(tenant, verb, request=None, running=FINISH):
     """Returns the tenant after `verb`, or `tenant` itself if nothing changes; None if it is not allowed."""
     allowed, state = TRANSITIONS[verb]
     if tenant.state not in allowed:
@@ -240,6 +240,6 @@
     return msgspec.convert({**record, "teams": teams, "limits": limits}, Tenant)
 
 
-def key_of(number):
+def tenant_key(number):
     """Returns the state service key of a tenant's record."""
     return f"{TENANT}{number:05d}"
--- a/roadhead/tenants/table.py
+++ b/roadhead/tenants/table.py
@@ -11,7 +11,7 @@
 log = logging.getLogger("roadhead.tenants")
 
 
-class Entry:
+class TenantEntry:
     """A tenant with the stamp of its record, which guards transactions.
 
     `teams` maps the service's names of its teams to them.
@@ -25,7 +25,7 @@
         self.teams = {ids.to_team(tenant.number, team.name): team for team in tenant.teams}
 
 
-class Table:
+class TenantTable:
     """Holds the newest known record of each tenant. `on_change(old, new)` is called with entries or None."""
 
     def __init__(self, on_change=lambda old, new: None):
@@ -38,7 +38,7 @@
         if old is not None and stamp <= old.stamp:
             return
         try:
-            entry = Entry(from_record(record), stamp)
+            entry = TenantEntry(from_record(record), stamp)
         except (msgspec.ValidationError, KeyError, TypeError) as error:
             log.error("record %s is not a valid tenant: %s", key, error)
             return
--- a/roadhead/tenants/teams.py
+++ b/roadhead/tenants/teams.py
@@ -8,7 +8,7 @@
 import heapq
 from itertools import chain, islice
 
-from roadhead.homes.machine import NOTHING, times
+from roadhead.machines.machine import NO_RESOURCES, fitting_count
 from roadhead.tenants import ids
 from roadhead.tenants.records import ACTIVE, REMOVED, STOP, SUSPENDED
 
@@ -73,7 +73,7 @@
         return tenant.state == REMOVED or (tenant.state == SUSPENDED and tenant.running == STOP)
 
 
-def dominant(amounts, totals):
+def dominant_share(amounts, totals):
     """Returns the dominant share of `amounts`: their largest fraction of the fleet's (cpus, gpus, memory)."""
     return max(
         (amount / total if total > 0 else 1.0 if amount > 0 else 0.0)
@@ -81,7 +81,7 @@
     )
 
 
-class Sharing:
+class FairShare:
     """Orders jobs by guarantees and weights.
 
     Work within its team's guarantee comes before all borrowing work, in its own order. Tenants borrow by
@@ -99,7 +99,7 @@
 
     def _held(self, name):
         account = self._accounts.get(name)
-        return account.held if account is not None else NOTHING
+        return account.held if account is not None else NO_RESOURCES
 
     def candidates(self):
         """Yields jobs that may come first: of each group some, the most urgent and of those the oldest.
@@ -110,7 +110,7 @@
         each = max(MIN_ORDERED_PER_GROUP, MAX_ORDERED_JOBS // max(1, len(groups)))
         for group in groups:
             by_rank = chain.from_iterable(self._accounts.get(group).by_rank)
-            yield from islice((job for job in by_rank if job.free and job.state == "open"), each)
+            yield from islice((job for job in by_rank if job.unstarted and job.state == "open"), each)
 
     def borrowed(self, team):
         """Returns the (cpus, gpus, memory) that a team holds beyond its guarantee.
@@ -126,10 +126,10 @@
     def ahead(self, team):
         """Returns a team's dominant share of borrowed resources, divided by both weights."""
         tenant, own = self._teams.weights(team)
-        return dominant(self.borrowed(team), self._totals()) / (tenant * own)
+        return dominant_share(self.borrowed(team), self._totals()) / (tenant * own)
 
-    def arrange(self, jobs):
-        """Sets `place`, `sure` and `part` of each job with waiting tasks.
+    def assign_positions(self, jobs):
+        """Sets `queue_position`, `sure` and `part` of each job with waiting tasks.
 
         `part` is the number of tasks that it may start before the next round. `jobs` come in the order that
         they would have without sharing.
@@ -147,32 +147,34 @@
                 known = self._teams.get(team)
                 held = self._held(team)
                 room = (known.cpus - held[0], known.gpus - held[1]) if known is not None else (0.0, 0.0)
-            job.sure = min(count, times(job.need, room))
-            left[team] = tuple(free - job.sure * part for free, part in zip(room, job.need, strict=False))
-            job.part = job.sure
-            job.later = LAST_POSITION
-            if job.sure < count:
+            job.within_guarantee = min(count, fitting_count(job.resources, room))
+            left[team] = tuple(
+                free - job.within_guarantee * part for free, part in zip(room, job.resources, strict=False)
+            )
+            job.round_allowance = job.within_guarantee
+            job.borrowed_position = LAST_POSITION
+            if job.within_guarantee < count:
                 borrowers.setdefault(self._teams.group(team), {}).setdefault(team, []).append(job)
         queue = []  # (share / weight, weight, first borrowing job) of each borrowing tenant
         for group, teams in borrowers.items():
-            share = sum(dominant(self.borrowed(team), totals) for team in self._teams_of(group, teams))
+            share = sum(dominant_share(self.borrowed(team), totals) for team in self._teams_of(group, teams))
             weight = self._teams.weights(next(iter(teams)))[0]
             for job, before in self._merge_by_weight(teams, totals):
-                job.later = self._base + self._step * (share + before) / weight
+                job.borrowed_position = self._base + self._step * (share + before) / weight
                 if not before:
                     queue.append((share / weight, weight, job))
         queue.sort(key=lambda entry: entry[0])
         for number, (share, weight, job) in enumerate(queue):
             ahead = queue[number + 1][0] - share + QUANTUM if number + 1 < len(queue) else LAST_POSITION
-            task = dominant(job.need, totals)
-            if job.sure:
+            task = dominant_share(job.resources, totals)
+            if job.within_guarantee:
                 continue  # its borrowing tasks start in the next round
-            job.part = (
+            job.round_allowance = (
                 UNLIMITED_TASKS if task <= 0 or ahead == LAST_POSITION else max(1, int(ahead * weight / task))
             )
         for job in jobs:
-            if not job.sure:
-                job.place = job.later
+            if not job.within_guarantee:
+                job.queue_position = job.borrowed_position
 
     def _teams_of(self, group, teams):
         """Returns the teams of a group that hold resources or have waiting jobs."""
@@ -185,14 +187,14 @@
         heads = []
         for team, jobs in teams.items():
             weight = self._teams.weights(team)[1]
-            heads.append((dominant(self.borrowed(team), totals) / weight, team, weight, 0, jobs))
+            heads.append((dominant_share(self.borrowed(team), totals) / weight, team, weight, 0, jobs))
         heapq.heapify(heads)
         before = 0.0
         while heads:
             share, team, weight, at, jobs = heapq.heappop(heads)
             job = jobs[at]
             yield job, before
-            size = dominant(job.need, totals) * (job.startable() - job.sure)
+            size = dominant_share(job.resources, totals) * (job.startable() - job.within_guarantee)
             before += max(size, 1e-9)
             if at + 1 < len(jobs):
                 heapq.heappush(heads, (share + size / weight, team, weight, at + 1, jobs))
--- a/roadhead/wire/frames.py
+++ b/roadhead/wire/frames.py
@@ -15,7 +15,7 @@
 FIXED_SIZE_FORMATS = {"q": "Q", "d": "d", "?": "?"}
 
 
-class BadFrame(Exception):
+class FrameError(Exception):
     """The received bytes are not a valid frame: garbage, truncated or oversized."""
 
 
@@ -71,7 +71,7 @@
             (size,) = U32.unpack_from(data, offset)
             offset += 4
             if offset + size > len(data):
-                raise BadFrame("truncated")
+                raise FrameError("truncated")
             values.append(bytes(data[offset : offset + size]))
             offset += size
         elif step == "T":
@@ -92,7 +92,7 @@
     (size,) = U16.unpack_from(data, offset)
     offset += 2
     if offset + size > len(data):
-        raise BadFrame("truncated")
+        raise FrameError("truncated")
     return data[offset : offset + size].decode(), offset + size
 
 
@@ -155,7 +155,7 @@
     def parse(cls, data):
         """Decodes the bytes that follow the frame header.
 
-        Raises BadFrame, or struct.error, UnicodeDecodeError or IndexError, which `Splitter` converts.
+        Raises FrameError, or struct.error, UnicodeDecodeError or IndexError, which `FrameDecoder` converts.
         """
         values, offset = _unpack(cls._before, data, 0)
         if cls._rows_at is not None:
@@ -169,7 +169,7 @@
             after, offset = _unpack(cls._after, data, offset)
             values += after
         if offset != len(data):
-            raise BadFrame(f"{cls.__name__}: {len(data) - offset} trailing bytes")
+            raise FrameError(f"{cls.__name__}: {len(data) - offset} trailing bytes")
         return cls(*values)
 
 
@@ -180,19 +180,19 @@
     fields = ("label", "incarnation")
 
 
-class Beat(Frame):
+class Heartbeat(Frame):
     """Heartbeat.
 
-    `term`: the term the sender serves; `state_ok`: whether the state service answers the sender; `deaf`:
-    whether most machines whose shards the sender leads have stopped reporting; `requests` and `writes`: the
-    sender's recent use of the state service, per second.
+    `term`: the term the sender serves; `state_ok`: whether the state service answers the sender;
+    `workers_silent`: whether most machines whose shards the sender leads have stopped reporting; `requests`
+    and `writes`: the sender's recent use of the state service, per second.
     """
 
     kind, layout = 2, "q??dd"
-    fields = ("term", "state_ok", "deaf", "requests", "writes")
+    fields = ("term", "state_ok", "workers_silent", "requests", "writes")
 
 
-class TermNews(Frame):
+class TermUpdate(Frame):
     """Broadcasts the term record (CBOR) and its revision in the state service."""
 
     kind, layout = 3, "qb"
@@ -226,7 +226,7 @@
         "taken",
         "type",
         "zone",
-        "home",
+        "leader",
         "spot",
         "cpus",
         "gpus",
@@ -236,21 +236,21 @@
     )
 
 
-class Return(Frame):
+class ReturnGrant(Frame):
     """The holder of a grant gives it back; `length` is the number of machines still granted to it."""
 
     kind, layout = 6, "sqq"
     fields = ("machine", "serial", "length")
 
 
-class Revoke(Frame):
+class RevokeGrant(Frame):
     """The machine's shard leader withdraws a grant."""
 
     kind, layout = 7, "sq"
     fields = ("machine", "serial")
 
 
-class Start(Frame):
+class StartTasks(Frame):
     """Starts tasks of a job on granted capacity.
 
     `last` returns the rest of the grant. The grant decides whether the tasks may start; `term` is ignored by
@@ -277,7 +277,7 @@
     row = "qq"  # index attempt
 
 
-class Refused(Frame):
+class StartRefused(Frame):
     """The shard leader rejected a start and will never carry it out."""
 
     kind, layout = 9, "ssqq"
@@ -292,21 +292,21 @@
     row = "sqqss"  # job index attempt status cause
 
 
-class Free(Frame):
+class AttemptGone(Frame):
     """An attempt is on no machine and can never be launched on one: its task may be started again."""
 
     kind, layout = 11, "ssqqs"
     fields = ("machine", "job", "index", "attempt", "cause")
 
 
-class Stop(Frame):
+class StopTask(Frame):
     """The owner asks the shard leader to stop an attempt; `grace` is in seconds."""
 
     kind, layout = 12, "ssqqd"
     fields = ("machine", "job", "index", "attempt", "grace")
 
 
-class Forget(Frame):
+class ForgetAttempts(Frame):
     """Attempts that have ended and are recorded, or that no owner needs: machines may drop them."""
 
     kind, layout = 13, "R"
@@ -314,11 +314,11 @@
     row = "ssqq"  # machine job index attempt
 
 
-class Sync(Frame):
+class ReconcileRequest(Frame):
     """Asks a shard leader to reconcile an owner's jobs.
 
     Lists the jobs that the sender owns, and the attempts that it believes are bound to machines led by the
-    receiver. `number` identifies the request in the `Synced` that answers it.
+    receiver. `number` identifies the request in the `ReconcileDone` that answers it.
     """
 
     kind, layout = 14, "qqTR"
@@ -326,35 +326,35 @@
     row = "ssqq"  # machine job index attempt
 
 
-class Synced(Frame):
-    """Answers `Sync`: the shard leader knows every task of those jobs and has sent all of it."""
+class ReconcileDone(Frame):
+    """Answers `ReconcileRequest`: the shard leader knows every task of those jobs and has sent all of it."""
 
     kind, layout = 15, "qq"
     fields = ("term", "number")
 
 
-class CancelNews(Frame):
+class JobsCancelled(Frame):
     """Broadcasts jobs whose cancellation is durable."""
 
     kind, layout = 16, "T"
     fields = ("jobs",)
 
 
-class JobFails(Frame):
+class JobFaulty(Frame):
     """A job seems to fail on every machine: its failures must not count against the machines."""
 
     kind, layout = 20, "s"
     fields = ("job",)
 
 
-class Borrowed(Frame):
+class BorrowedResources(Frame):
     """Resources that the sender's jobs hold beyond their teams' guarantees."""
 
     kind, layout = 21, "ddd"
     fields = ("cpus", "gpus", "memory")
 
 
-class Reclaim(Frame):
+class ReclaimResources(Frame):
     """Asks the receiver to preempt borrowed work, so that work within a guarantee can start.
 
     Each row describes waiting tasks of one shape.
@@ -365,7 +365,7 @@
     row = "dddq?sT"  # cpus gpus memory count spot zone types
 
 
-class Handover(Frame):
+class HandoverMachines(Frame):
     """Machines whose shard leadership moved from the sender to the receiver in the current term.
 
     `draining` marks machines that are about to be released.
@@ -377,14 +377,15 @@
 
 
 class HandoverJobs(Frame):
-    """Owners and resource requests of jobs with tasks on the machines of the `Handover` that follows."""
+    """Owners and resource requests of jobs with tasks on the machines of the `HandoverMachines` that
+    follows."""
 
     kind, layout = 24, "R"
     fields = ("rows",)
     row = "ssqdddsdd?"  # job owner incarnation cpus gpus memory image image_gb save_s saves
 
 
-class HomeNews(Frame):
+class MachineCounts(Frame):
     """Capacity of the machines led by the sender, for the autoscaler.
 
     There is one row per machine type, zone and spot flag.
@@ -395,14 +396,14 @@
     row = "ss?qqddd"  # type zone spot machines idle free_cpus free_gpus free_memory
 
 
-class Orphan(Frame):
+class OrphanedJob(Frame):
     """Names an accepted job that the receiver should take over."""
 
     kind, layout = 19, "s"
     fields = ("job",)
 
 
-class SummaryNews(Frame):
+class SummaryPart(Frame):
     """The sender's part of the cluster summary.
 
     Holds a row per job class, the number of failing machines, the duties that are behind schedule now, and
@@ -414,7 +415,7 @@
     row = "sqqqq"  # class open done late at_risk
 
 
-class JobsOver(Frame):
+class JobsEnded(Frame):
     """Jobs that have ended, according to durable records or to what follows from one.
 
     Sent only once all controllers support it (the format version barrier is open).
@@ -425,7 +426,7 @@
     row = "sqqd?"  # job tasks done ended_at cancelled
 
 
-class Wishes(Frame):
+class UpstreamPriorities(Frame):
     """What waiting jobs require of the jobs that they depend on. A hint: losing it costs only priority.
 
     `wanted_by`, `due_by` and `last_by` are times of day, infinite for none; `end` is the last job of the
@@ -438,7 +439,7 @@
     row = "ssqdds"  # job wanted_by urgency due_by last_by end
 
 
-class StateLowered(Frame):
+class StateLimitsLowered(Frame):
     """The lower limits announced for the state service are in force.
 
     Sent only once all controllers support it (the format version barrier is open).
@@ -451,7 +452,7 @@
 KINDS = {cls.kind: cls for cls in Frame.__subclasses__()}
 
 
-class Splitter:
+class FrameDecoder:
     """Splits a byte stream into frames."""
 
     def __init__(self):
@@ -462,25 +463,25 @@
         self._buffer += data
 
     def frames(self):
-        """Removes and returns all complete frames. Raises BadFrame."""
+        """Removes and returns all complete frames. Raises FrameError."""
         buffer = self._buffer
         offset = 0
         found = []
         while len(buffer) - offset >= HEADER.size:
             length, kind = HEADER.unpack_from(buffer, offset)
             if not 1 <= length <= MAX_FRAME_BYTES:
-                raise BadFrame(f"frame length {length}, expected 1 to {MAX_FRAME_BYTES}")
+                raise FrameError(f"frame length {length}, expected 1 to {MAX_FRAME_BYTES}")
             if len(buffer) - offset < 4 + length:
                 break
             cls = KINDS.get(kind)
             if cls is None:
-                raise BadFrame(f"unknown frame kind {kind}")
+                raise FrameError(f"unknown frame kind {kind}")
             try:
                 found.append(
                     cls.parse(memoryview(buffer)[offset + HEADER.size : offset + 4 + length].tobytes())
                 )
             except (struct.error, UnicodeDecodeError, IndexError) as error:
-                raise BadFrame(str(error)) from None
+                raise FrameError(str(error)) from None
             offset += 4 + length
         del buffer[:offset]
         return found
--- a/roadhead/wire/http.py
+++ b/roadhead/wire/http.py
@@ -37,7 +37,7 @@
 }
 
 
-class BadMessage(Exception):
+class HttpMessageError(Exception):
     """A message that violates HTTP. `status` is what a server answers before it closes the connection."""
 
     def __init__(self, status, text):
@@ -82,12 +82,12 @@
         self._buffer += data
 
     def next(self):
-        """Returns the next complete message, or None. Raises BadMessage."""
+        """Returns the next complete message, or None. Raises HttpMessageError."""
         if self._head is None:
             end = self._buffer.find(b"\r\n\r\n", 0, MAX_HEAD + 4)
             if end < 0:
                 if len(self._buffer) > MAX_HEAD:
-                    raise BadMessage(431, f"message head exceeds {MAX_HEAD} bytes")
+                    raise HttpMessageError(431, f"message head exceeds {MAX_HEAD} bytes")
                 return None
             self._parse_head(bytes(self._buffer[:end]))
             del self._buffer[: end + 4]
@@ -103,15 +103,15 @@
         self._length = length
         if self._response:
             if not parts[0].startswith("HTTP/1.") or not parts[1].isdigit():
-                raise BadMessage(400, "malformed status line")
+                raise HttpMessageError(400, "malformed status line")
             message = Message(None, None, int(parts[1]), headers, b"", close)
         else:
             if len(parts) != 3 or parts[2] not in ("HTTP/1.1", "HTTP/1.0"):
-                raise BadMessage(400, "malformed request line")
+                raise HttpMessageError(400, "malformed request line")
             close = close or parts[2] == "HTTP/1.0"
             message = Message(parts[0], parts[1], None, headers, b"", close)
         if length > self._max_body:
-            raise BadMessage(413, f"body of {length} bytes exceeds {self._max_body}")
+            raise HttpMessageError(413, f"body of {length} bytes exceeds {self._max_body}")
         self._head = message
 
 
@@ -121,29 +121,29 @@
 
     Returns (parts of the first line, headers, body length, whether to close). Results are cached, as workers
     send the same few heads with every report; the headers are shared, so callers must not modify them. Raises
-    BadMessage.
+    HttpMessageError.
     """
     try:
         first, *lines = head.decode("latin-1").split("\r\n")
     except ValueError:
-        raise BadMessage(400, "message head can't be decoded") from None
+        raise HttpMessageError(400, "message head can't be decoded") from None
     parts = first.split(" ", 2)
     if len(parts) < 2:
-        raise BadMessage(400, "malformed first line")
+        raise HttpMessageError(400, "malformed first line")
     headers = {}
     for line in lines:
         name, colon, value = line.partition(":")
         if not colon or not name or name != name.strip():
-            raise BadMessage(400, "malformed header line")
+            raise HttpMessageError(400, "malformed header line")
         name = name.lower()
         if name == "content-length" and name in headers and headers[name] != value.strip():
-            raise BadMessage(400, "conflicting Content-Length headers")
+            raise HttpMessageError(400, "conflicting Content-Length headers")
         headers[name] = value.strip()
     if "transfer-encoding" in headers:
-        raise BadMessage(400, "Transfer-Encoding is not supported")
+        raise HttpMessageError(400, "Transfer-Encoding is not supported")
     length = headers.get("content-length", "0")
     if not (length.isascii() and length.isdigit()):
-        raise BadMessage(400, "Content-Length is not a number")
+        raise HttpMessageError(400, "Content-Length is not a number")
     close = "close" in headers.get("connection", "").lower()
     # A length of 12 digits or more is above any body limit; it isn't converted, however many digits it has.
     return parts, headers, int(length) if len(length) < 12 else 1 << 62, close
@@ -231,7 +231,7 @@
             stream.write(response_bytes(status, body, message.close, *more))
             if message.close:
                 return
-    except BadMessage as bad:
+    except HttpMessageError as bad:
         log.debug("bad request: %s", bad)
         try:
             stream.write(response_bytes(bad.status, close=True))
@@ -246,7 +246,7 @@
         stream.close()
 
 
-class NoAnswer(Exception):
+class NoResponseError(Exception):
     """A request got no response. The server may have executed it, or may still do so.
 
     `sent` is False if no byte of the request was sent, so that it can't have been executed.
@@ -269,7 +269,7 @@
         self._max_body = max_body
 
     async def request(self, method, target, body=b"", timeout=4.0, headers=(), media_type="application/cbor"):
-        """Returns the response as (status, body, headers). Raises NoAnswer.
+        """Returns the response as (status, body, headers). Raises NoResponseError.
 
         `timeout` is in seconds and covers connecting; `media_type` is that of the body.
         """
@@ -288,7 +288,7 @@
             try:
                 stream = await self._net.connect(self.address, timeout)
             except (Closed, Timeout) as error:
-                raise NoAnswer(f"connect {self.address}: {error!r}", sent=False) from None
+                raise NoResponseError(f"connect {self.address}: {error!r}", sent=False) from None
         timer = loop.call_at(deadline, stream.close)
         keep = False
         try:
@@ -297,16 +297,16 @@
             while (message := parser.next()) is None:
                 data = await stream.read()
                 if not data:
-                    raise NoAnswer(
+                    raise NoResponseError(
                         f"{method} {target}: {'closed' if is_new_connection else 'closed while idle'}"
                     )
                 parser.feed(data)
             keep = not message.close and parser.empty
             return message.status, message.body, message.headers
         except Closed:
-            raise NoAnswer(f"{method} {target}: closed") from None
-        except BadMessage as bad:
-            raise NoAnswer(f"{method} {target}: {bad}") from None
+            raise NoResponseError(f"{method} {target}: closed") from None
+        except HttpMessageError as bad:
+            raise NoResponseError(f"{method} {target}: {bad}") from None
         finally:
             timer.cancel()
             if keep and not stream.closed and len(self._idle) < self._max_idle:
--- a/roadhead/wire/messages.py
+++ b/roadhead/wire/messages.py
@@ -19,7 +19,7 @@
 CBOR_MAP_TYPE, CBOR_INDEFINITE_MAP, CBOR_BREAK = 5, 0xBF, 0xFF  # major type, initial byte, end marker
 
 
-class Invalid(Exception):
+class InvalidMessageError(Exception):
     """A body or value that violates the protocol. The text is sent to the client."""
 
 
@@ -28,14 +28,14 @@
     try:
         return cbor2.loads(body)
     except Exception as error:  # cbor2 raises exceptions of many types for malformed input
-        raise Invalid(f"not CBOR: {error}") from None
+        raise InvalidMessageError(f"not CBOR: {error}") from None
 
 
 def decode_map(body):
     """Decodes a CBOR map. Raises Invalid."""
     value = decode(body)
     if type(value) is not dict:
-        raise Invalid("not a map")
+        raise InvalidMessageError("not a map")
     return value
 
 
@@ -51,11 +51,11 @@
     try:
         pairs = _read_pairs(decoder, stream)
     except Exception as error:  # as in `decode`
-        raise Invalid(f"not CBOR: {error}") from None
+        raise InvalidMessageError(f"not CBOR: {error}") from None
     if pairs != len(value):
-        raise Invalid("a field more than once")
+        raise InvalidMessageError("a field more than once")
     if stream.tell() != len(body):
-        raise Invalid("bytes after the map")
+        raise InvalidMessageError("bytes after the map")
     return value
 
 
@@ -85,7 +85,7 @@
 encode = cbor2.dumps
 
 
-def read(body, struct_type):
+def decode_as(body, struct_type):
     """Decodes a body into a struct of type `struct_type`. Raises Invalid."""
     return parse(decode_map(body), struct_type)
 
@@ -95,7 +95,7 @@
     try:
         return msgspec.convert(value, struct_type)
     except (msgspec.ValidationError, ValueError, TypeError, OverflowError) as error:
-        raise Invalid(str(error)) from None
+        raise InvalidMessageError(str(error)) from None
 
 
 def write(struct):
@@ -157,14 +157,14 @@
     def check(self):
         """Raises Invalid for values that no job can have."""
         if not JOB_ID.match(self.id):
-            raise Invalid("id")
+            raise InvalidMessageError("id")
         # The tasks of a group are gang-scheduled: those started first wait on their machines for the others.
         if self.kind not in ("batch", "daemon", "group"):
-            raise Invalid("shape")
+            raise InvalidMessageError("shape")
         if self.urgency not in URGENCIES:
-            raise Invalid("urgency")
+            raise InvalidMessageError("urgency")
         if not 1 <= self.tasks <= MAX_TASKS:
-            raise Invalid("legs")
+            raise InvalidMessageError("legs")
         amounts = (
             self.cpus,
             self.gpus,
@@ -177,13 +177,13 @@
         )
         for amount in amounts:
             if not (math.isfinite(amount) and 0 <= amount < AMOUNT_LIMIT):
-                raise Invalid("amount out of range")
+                raise InvalidMessageError("amount out of range")
         for text in (self.klass, self.team, self.image or "", self.zone or "", *(self.types or ())):
             if len(text) > 200:
-                raise Invalid("text too long")
+                raise InvalidMessageError("text too long")
         for name in self.upstream or ():
             if not JOB_ID.match(name):
-                raise Invalid(f"upstream: {name[:40]!r} is no job id")
+                raise InvalidMessageError(f"upstream: {name[:40]!r} is no job id")
 
 
 class TaskReport(Struct, rename={"task": "leg", "attempt": "try"}):
@@ -231,7 +231,7 @@
         """Raises Invalid for numbers that don't fit an unsigned 64-bit integer."""
         for count in (self.session, self.sequence, self.token):
             if not 0 <= count < COUNT_LIMIT:
-                raise Invalid("count out of range")
+                raise InvalidMessageError("count out of range")
 
 
 class MachineType(
@@ -266,7 +266,7 @@
     types: list[MachineType]
 
 
-class Listed(
+class ListedMachine(
     Struct,
     rename={
         "address": "endpoint",
@@ -290,11 +290,11 @@
 class MachineList(Struct, rename={"machines": "drovers", "more": "hasNext"}):
     """One page of the cloud's list of machines; `more` says whether another follows."""
 
-    machines: list[Listed]
+    machines: list[ListedMachine]
     more: bool = False
 
 
-class Rented(Struct, rename={"machines": "drovers"}):
+class RentedMachines(Struct, rename={"machines": "drovers"}):
     """Ids of the machines that a rental request created."""
 
     machines: list[str] = field(default_factory=list)
@@ -309,7 +309,7 @@
     """Returns (job id, index) from a task's name. Raises Invalid for any other form."""
     job, slash, index = name.rpartition("/")
     if not slash or not index.isdigit() or len(index) > 9:
-        raise Invalid(f"task name {name[:60]!r} is not JOB/INDEX")
+        raise InvalidMessageError(f"task name {name[:60]!r} is not JOB/INDEX")
     return job, int(index)
 
 
