--- a/roadhead/local/expectations.py
+++ b/roadhead/local/expectations.py
@@ -1,31 +1,32 @@
-"""What a scenario expects: lines `expect NAME ...`, looked at when it has been played."""
+"""Evaluates a scenario's expectations, the lines `expect NAME ...`, after the scenario has run."""
 
 from roadhead.local.histories import Question
 from roadhead.local.scenario_verbs import job_id
 
 
 def faults_of(world):
-    """What did not come out as the scenario expects, as texts."""
+    """Returns a text for every expectation of the scenario that is not met."""
     faults = []
     for name, *words in world.expectations:
         if name not in TABLE:
-            raise ValueError(f"scenario: {[name, *words]}")
+            raise ValueError(f"unknown expectation {name!r} in {[name, *words]}")
         faults += TABLE[name](world, *words)
     return faults
 
 
 def _ids(numbers):
+    """Returns the ids of the scenario's jobs with these numbers, as in `1,2,5`."""
     return [job_id(number) for number in numbers.split(",")]
 
 
 def _compare(what, value, relation, bound):
-    """A fault unless `value` is at least (`>=`) or at most (any other) that much."""
+    """Returns a text unless `value` is at least (`>=`) or at most (any other `relation`) the bound."""
     good = value >= float(bound) if relation == ">=" else value <= float(bound)
     return [] if good else [f"{what} is {value}, not {relation} {bound}"]
 
 
 def _rules(_world):
-    """The rules alone, which are looked at in any case."""
+    """Expects only that no rule is violated, which every scenario checks."""
     return []
 
 
@@ -33,7 +34,7 @@
     assert wanted in ("done", "cancelled")
     ids = list(world.users) if numbers == "all" else _ids(numbers)
     return [
-        f"{name} was told {world.users[name].told}, not {wanted}"
+        f"{name} was told {world.users[name].told}, expected {wanted}"
         for name in ids
         if world.users[name].told != wanted
     ]
@@ -41,22 +42,26 @@
 
 def _refused(world, status, number):
     name = job_id(number)
-    return [] if world.refusals.get(name) == int(status) else [f"{name} was not refused with {status}"]
+    return (
+        []
+        if world.refusals.get(name) == int(status)
+        else [f"{name} was refused with {world.refusals.get(name)}, expected {status}"]
+    )
 
 
 def _odd_refused(world, relation, bound):
     refused = sum(requests.refused for requests in world.injector.odd_requests)
-    return _compare("the count of odd requests that were refused", refused, relation, bound)
+    return _compare("the number of invalid requests that were refused", refused, relation, bound)
 
 
 def _unavailable(world, question, relation, bound):
     count = world.history.unavailable(Question(question))
-    return _compare(f"the count of 503 to {question}", count, relation, bound)
+    return _compare(f"the number of 503 responses to {question}", count, relation, bound)
 
 
 def _struck(world, name, relation, bound):
     struck = getattr(world.fault_windows, name).struck
-    return _compare(f"the count of {name}", struck, relation, bound)
+    return _compare(f"the number of injected {name}", struck, relation, bound)
 
 
 def _counter(world, name, relation, bound):
@@ -65,36 +70,38 @@
 
 def _keys(world, prefix, relation, bound):
     count = sum(key.startswith(prefix) for key in world.state.data)
-    return _compare(f"the count of keys under {prefix}", count, relation, bound)
+    return _compare(f"the number of keys under {prefix}", count, relation, bound)
 
 
 def _gone(world, tenant):
     number = world.tenancy.numbers[tenant]
     state = world.state.data[f"c/t/{number:05d}"][0]["state"]
-    left = world.tenancy.left_of(number)
-    if state != "removed" or left:
-        return [f"tenant {tenant} is {state}, {len(left)} keys are left"]
+    remaining_keys = world.tenancy.left_of(number)
+    if state != "removed" or remaining_keys:
+        return [
+            f"tenant {tenant} is {state} with {len(remaining_keys)} keys stored, expected removed with none"
+        ]
     return []
 
 
 def _accepted_done(world, tenant):
-    unended = [
-        f"{user.own} was accepted, and is {user.told}"
+    unfinished = [
+        f"{user.own} was accepted and is {user.told}, expected done"
         for user in world.users.values()
         if user.tenant == tenant and user.accepted and user.told != "done"
     ]
-    # Whatever is stored was accepted, or would be if it were asked for.
+    # Every stored job was accepted, or would be on the next request for it.
     stored = [
-        f"{key} is open"
+        f"{key} is still open"
         for key, (record, *_) in world.state.data.items()
         if key.startswith("j/") and record["s"] == "open"
     ]
-    return unended + stored
+    return unfinished + stored
 
 
 def tenants_told(world, tenant, wanted):
     return [
-        f"{user.own} of {tenant} was told {user.told}, not {wanted}"
+        f"{user.own} of {tenant} is {user.told}, expected {wanted}"
         for user in world.users.values()
         if getattr(user, "tenant", None) == tenant and user.told != wanted
     ]
@@ -104,85 +111,93 @@
     count = sum(
         user.refused_with == int(status) for user in world.users.values() if user.job.get("tenant") == tenant
     )
-    return [] if count >= int(least) else [f"{count} jobs of {tenant} were refused with {status}"]
+    return (
+        []
+        if count >= int(least)
+        else [f"{count} jobs of {tenant} were refused with {status}, expected at least {least}"]
+    )
 
 
 def _running(world, count):
-    return [] if len(world.running) == int(count) else [f"{len(world.running)} tasks run"]
+    return [] if len(world.running) == int(count) else [f"{len(world.running)} tasks run, expected {count}"]
 
 
 def _machines(world, most):
-    return _compare("the count of machines rented", len(world.cloud.rented), "<=", most)
+    return _compare("the number of rented machines", len(world.cloud.rented), "<=", most)
 
 
 def _summary(world, text):
     lines = [line for node in world.nodes.values() for line in node.summary()["troubles"]]
-    return [] if any(text in line for line in lines) else [f"the summary does not say {text!r}"]
+    return [] if any(text in line for line in lines) else [f"no trouble in the summary contains {text!r}"]
 
 
 def _done_before(world, numbers, later):
     told_at = world.users[job_id(later)].told_at
-    return [f"{name} was done after {later}" for name in _ids(numbers) if world.users[name].told_at > told_at]
+    return [
+        f"{name} was done after job {later}" for name in _ids(numbers) if world.users[name].told_at > told_at
+    ]
 
 
 def _answered(world, _relation, share):
     return [
-        f"{storm.answered} of {storm.polls} polls were answered"
+        f"{storm.answered} of {storm.polls} polls were answered, expected a share of {share}"
         for storm in world.storms
         if storm.answered < float(share) * storm.polls
     ]
 
 
 def _state_requests(world, _relation, most):
-    return _compare("the count of requests to the state service", world.state.requests, "<=", most)
+    return _compare("the number of requests to the state service", world.state.requests, "<=", most)
 
 
 def _hired(world, _relation, most):
-    return _compare("the count of machines ever rented", world.cloud.names, "<=", most)
+    return _compare("the number of machines ever rented", world.cloud.names, "<=", most)
 
 
 def _killed(world, _relation, most):
-    return _compare("the count of tasks killed by their lease", world.killed, "<=", most)
+    return _compare("the number of tasks killed by their lease on a worker", world.killed, "<=", most)
 
 
 def _given_back(world, _relation, most):
-    return _compare("the count of tasks lost with machines returned", world.given_back, "<=", most)
+    return _compare("the number of tasks lost with released machines", world.given_back, "<=", most)
 
 
 def _together(world, _which):
     return [
-        f"the tasks of {job['id']} never ran together"
+        f"the tasks of {job['id']} never ran at the same time"
         for job in world.jobs.values()
         if job["shape"] == "group" and job["id"] not in world.together
     ]
 
 
 def _cancelled_gone(world, _relation, most):
-    return _compare("the time for which cancelled tasks were there", world.longest_gone, "<=", most)
+    return _compare("the longest time in s that a cancelled task ran on", world.longest_gone, "<=", most)
 
 
 def _reruns(world, _relation, most):
-    return _compare("the count of tasks recorded as done that ran anew", world.rules.reruns, "<=", most)
+    return _compare("the number of tasks recorded as done that ran anew", world.rules.reruns, "<=", most)
 
 
 def _cancelled_starts(world, _relation, most):
     count = world.rules.cancelled_starts
-    return _compare("the count of starts after a confirmed cancellation", count, "<=", most)
+    return _compare("the number of starts after a confirmed cancellation", count, "<=", most)
 
 
 def _begun(world, before, numbers):
-    begun = {task.rpartition("/")[0] for task, at in world.started.items() if at < float(before)}
-    return [f"{name} did not begin before {before}" for name in _ids(numbers) if name not in begun]
+    started = {task.rpartition("/")[0] for task, at in world.started.items() if at < float(before)}
+    return [f"{name} did not start before {before} s" for name in _ids(numbers) if name not in started]
 
 
 def _mostly_done(world, numbers):
     ids = _ids(numbers)
     done = sum(world.users[name].told == "done" for name in ids)
-    return [] if 2 * done >= len(ids) else [f"less than half of {numbers} is done"]
+    return [] if 2 * done >= len(ids) else [f"{done} of the jobs {numbers} are done, expected at least half"]
 
 
 def _no_rooms(world, *_words):
-    return [f"{world.no_rooms} starts found no room"] if world.no_rooms else []
+    return (
+        [f"{world.no_rooms} task starts found no room on their machine, expected 0"] if world.no_rooms else []
+    )
 
 
 TABLE = {
--- a/roadhead/local/fault_injector.py
+++ b/roadhead/local/fault_injector.py
@@ -94,7 +94,7 @@
         left = {}  # job -> seconds, of its task that has the longest to go
         for task, worker in self._world.running.items():
             job_id = task.rpartition("/")[0]
-            seconds = worker.left_of(task)
+            seconds = worker.remaining_s(task)
             user = self._world.users[job_id]
             if seconds >= LONG_LEFT_S and user.told not in ("done", "cancelled") and user.accepted:
                 left[job_id] = max(seconds, left.get(job_id, 0.0))
--- a/roadhead/local/rules.py
+++ b/roadhead/local/rules.py
@@ -84,9 +84,9 @@
     def cancelled_above(self, job_id):
         """When users of jobs that it needs were told that those are cancelled, as they had asked."""
         return [
-            user.told_cancelled_at
+            user.cancelled_seen_at
             for user in self.above(job_id)
-            if user.asked_to_cancel and user.told_cancelled_at is not None
+            if user.asked_to_cancel and user.cancelled_seen_at is not None
         ]
 
     async def watch(self):
--- a/roadhead/local/scenario.py
+++ b/roadhead/local/scenario.py
@@ -1,4 +1,8 @@
-"""The text of a scenario: options of the deployment, lines `at SECOND VERB ...`, and what is expected."""
+"""Parses scenarios.
+
+A scenario is a text with deployment options (`NAME VALUE`), actions (`at SECOND VERB ...`) and expectations
+(`expect NAME ...`), one per line.
+"""
 
 import shlex
 from dataclasses import dataclass, field
@@ -14,14 +18,14 @@
     "capacity": 8,
     "fetch_s": 1.0,
     "until": 200.0,
-    "cpus_max": 0.0,  # of each team
-    "teams": 1,  # `crew`, `crew-2` and so on; with more than one also `free`, without a limit
+    "cpus_max": 0.0,  # limit of each team; 0 means none
+    "teams": 1,  # named `crew`, `crew-2` and so on; with more than one, there is also `free`, without a limit
     "drift": 0.0005,
     "boot_s": 5.0,
-    "turn_s": 0.0,  # a busy controller reads its sockets so often, connection by connection in any order
+    "turn_s": 0.0,  # duration of a loop iteration of a busy controller, see `sim.HostLoop`
     "gateways": 0,
     "slots": 24,
-    "partitions": 1,  # of the settings' teams with limits
+    "partitions": 1,  # quota partitions of the teams with limits
     "preempt": 1,
     "sockets": 0,
     "rps": 300.0,
@@ -30,14 +34,17 @@
     "next_write_rps": 0.0,
     "next_value_kb": 0.0,
     "next_txn_ops": 0,
-    "settled": 0.0,  # when all troubles are over, for the rule that a job stays known
+    "settled": 0.0,  # when all faults have ended, for the checks that start then; 0 disables these
 }
-FREE = "free"  # a team without a limit
+FREE = "free"  # the team without a limit
 
 
 @dataclass
 class Scenario:
-    """`actions`: (second, words), `expectations`: words after `expect`."""
+    """A parsed scenario.
+
+    `actions` are (second, words of the action), `expectations` the words after `expect`.
+    """
 
     options: dict = field(default_factory=lambda: dict(DEFAULTS))
     actions: list = field(default_factory=list)
@@ -45,6 +52,7 @@
 
 
 def parse_scenario(text):
+    """Returns the Scenario that a text describes. Raises ValueError for a line that it doesn't know."""
     scenario = Scenario()
     for line in text.splitlines():
         words = shlex.split(line, comments=True)
@@ -57,12 +65,12 @@
         elif words[0] in DEFAULTS:
             scenario.options[words[0]] = type(DEFAULTS[words[0]])(float(words[1]))
         else:
-            raise ValueError(f"scenario: {line!r}")
+            raise ValueError(f"line {line!r}: expected `at`, `expect` or an option, not {words[0]!r}")
     return scenario
 
 
-def job_from(given):
-    """A job as submitted, from the `name=value` words of a scenario's line."""
+def job_from(fields):
+    """Returns a job as submitted: the fields of a scenario's line (name -> text) and defaults."""
     job = {
         "jobclass": "c",
         "crew": "crew",
@@ -88,11 +96,11 @@
         "faulty": False,
         "upstream": None,
     }
-    for name, text in given.items():
+    for name, text in fields.items():
         kind = type(job[name])
         if name == "dueS":
             kind = float
-        if name == "upstream":  # numbers of jobs of the scenario
+        if name == "upstream":  # numbers and ranges of the scenario's jobs, as in 1,3-5
             parts = [part.split("-") for part in text.split(",")]
             job[name] = [
                 f"req-{number:06d}" for part in parts for number in range(int(part[0]), int(part[-1]) + 1)
--- a/roadhead/local/scenario_verbs.py
+++ b/roadhead/local/scenario_verbs.py
@@ -1,4 +1,4 @@
-"""What a scenario's lines `at SECOND VERB ...` do."""
+"""Implements the verbs of a scenario's actions, the lines `at SECOND VERB ...`."""
 
 from roadhead.local.poll_storm import PollStorm
 from roadhead.local.scenario import job_from
@@ -7,17 +7,17 @@
 
 
 def job_id(number):
-    """The id of the scenario's job of that number, the first being 1."""
+    """Returns the id of the scenario's job with this number; numbers begin at 1."""
     return f"req-{int(number):06d}"
 
 
 class ScenarioVerbs:
-    """`table`: a verb's name -> what it does, called with the words after it."""
+    """Executes verbs in a world. `table` maps a verb to the function that takes the words after it."""
 
     def __init__(self, world):
         self._world = world
         self._sim = world.sim
-        self._named = {}  # tenant -> ids made for it
+        self._job_counts = {}  # tenant -> number of jobs submitted for it
         self.table = {
             "submit": self.submit,
             "orphan": self.orphan,
@@ -58,6 +58,7 @@
     # Users
 
     def submit(self, *words):
+        """Submits `count` jobs with the given `name=value` fields, each by a user of its own."""
         given = dict(word.split("=", 1) for word in words)
         if "tenant" in given:
             self._submit_as_tenant(given)
@@ -72,15 +73,15 @@
             number += 1
 
     def _submit_as_tenant(self, given):
-        """As `submit`, through a gateway; `id` is the first of the tenant's own ids."""
+        """Submits jobs through a gateway, one per `every` seconds; `id` is the prefix of their ids."""
         tenant, own = given.pop("tenant"), given.pop("id", "")
         count, every = int(given.pop("count", 1)), float(given.pop("every", 0))
         for number in range(count):
-            self._named[tenant] = self._named.get(tenant, 0) + 1
-            name = f"{own}{self._named[tenant]}"  # tenants' ids are alike
-            self._sim.call_later(number * every, self._begin_as_tenant, given, tenant, name)
+            self._job_counts[tenant] = self._job_counts.get(tenant, 0) + 1
+            name = f"{own}{self._job_counts[tenant]}"  # different tenants use the same job ids
+            self._sim.call_later(number * every, self._start_tenant_user, given, tenant, name)
 
-    def _begin_as_tenant(self, given, tenant, name):
+    def _start_tenant_user(self, given, tenant, name):
         world = self._world
         job = {**job_from(given), "id": to_job(world.tenancy.numbers[tenant], name), "tenant": tenant}
         world.jobs[job["id"]] = job
@@ -89,7 +90,7 @@
         world.user_loop.spawn(user.run(), name)
 
     def orphan(self, *words):
-        """The next job's record appears with an owner that is gone, after all scans."""
+        """Submits a job whose record already exists, written after all scans by an owner that has ended."""
         world = self._world
         user_id = job_id(len(world.jobs) + 1)
         world.submit(words)
@@ -106,39 +107,44 @@
         )
 
     def resubmit(self, numbers):
+        """Repeats the submissions of accepted jobs."""
         for number in numbers.split(","):
             self._world.user_loop.spawn(self._world.users[job_id(number)].submit_again(), "resubmit")
 
     def _id(self, name):
-        """Of a job by its number, or by the tenant's own id as in `north:a1`."""
+        """Returns a job's id, given its number or its tenant and the tenant's own id, as in `north:a1`."""
         tenant, _, own = name.rpartition(":")
         return to_job(self._world.tenancy.numbers[tenant], own) if tenant else job_id(name)
 
     def _ask(self, verb, names, via=None):
-        """Through any controller, or through the one named: "cancel 1,2 1"."""
+        """Cancels or polls jobs at any controller, or at the one numbered: `cancel 1,2 1`."""
         for name in names.split(","):
             act = getattr(self._world.users[self._id(name)], verb)
             self._world.user_loop.spawn(act(int(via) if via is not None else None), verb)
 
     def storm(self, rate, seconds):
+        """Polls `rate` times a second, in addition to the jobs' own users."""
         self._world.storms.append(PollStorm(self._world, float(rate), float(seconds)))
 
     def finals(self, count):
-        """Jobs over long since, as an older version left them: final records under j/."""
+        """Stores final records under j/, as an older version left them for jobs that ended long ago."""
         for number in range(int(count)):
             self._world.state.put(f"j/req-{500000 + number}", {"s": "done", "n": 1, "d": 1})
 
     # Controllers
 
     def crash(self, number, back_after=3.0):
+        """Kills a controller and starts it again later."""
         self._world.crash(int(number), float(back_after))
 
     def leave(self, number, back_after=3.0):
+        """Shuts a controller down gracefully and starts it again later."""
         number = int(number)
         if number in self._world.nodes:
             self._world.nodes[number].leave(lambda: self._world.crash(number, float(back_after)))
 
     def stall(self, number, seconds):
+        """Makes a controller process hang."""
         loop = self._world.network.loops.get(f"10.0.0.{int(number) + 1}")
         if loop is not None and not loop.hung:
             loop.hang()
@@ -147,7 +153,11 @@
     # Network
 
     def _hosts(self, name):
-        """Hosts by a scenario's names: a controller's number, state, cloud, users, workers, peers, a zone."""
+        """Returns the hosts that a scenario means by a name.
+
+        A name is a controller's number, `state`, `cloud`, `users`, `workers`, `even-workers`, `odd-workers`,
+        `peers` (all controllers) or a zone.
+        """
         rented = self._world.cloud.rented.values()
         if name == "state":
             return ["10.2.0.1"]
@@ -168,6 +178,7 @@
         return [f"10.0.0.{int(name) + 1}"]
 
     def cut(self, one, other, seconds, mode="lose"):
+        """Cuts the network between two groups of hosts; modes as in `sim.Network.cut`."""
         network = self._world.network
         for a in self._hosts(one):
             for b in self._hosts(other):
@@ -178,34 +189,42 @@
     # State service and cloud
 
     def outage(self, seconds):
+        """Makes the state service unavailable to all."""
         self._world.state.outage(True)
         self._sim.call_later(float(seconds), self._world.state.outage, False)
 
     def refuse(self, host, seconds):
+        """Makes the state service unavailable to one controller."""
         self._world.state.refuse(self._hosts(host)[0], float(seconds))
 
-    def slow_state(self, most_s, seconds):
-        self._world.state.slow_s = float(most_s)
+    def slow_state(self, max_extra_s, seconds):
+        """Delays the state service's responses by up to `max_extra_s`."""
+        self._world.state.slow_s = float(max_extra_s)
         self._sim.call_later(float(seconds), setattr, self._world.state, "slow_s", 0.0)
 
     def lower(self):
-        """Without notice, the limits that the settings name as later ones."""
+        """Applies the state limits that the settings announce for later, without notice."""
         self._world.settings["state"].update(self._world.later_limits())
 
     def cloud_outage(self, seconds):
+        """Makes the cloud's API unavailable."""
         self._world.cloud.down = True
         self._sim.call_later(float(seconds), setattr, self._world.cloud, "down", False)
 
     # Messages
 
     def lose(self, service, count):
+        """Drops the next `count` responses to POST requests of a service, `state` or `cloud`."""
         {"state": self._world.state, "cloud": self._world.cloud}[service].lose += int(count)
 
     def lose_workers(self, count):
+        """Drops the next `count` responses of each worker."""
         for worker in self._world.cloud.rented.values():
             worker.lose += int(count)
 
     def late_launch(self, seconds):
+        """Delays the next launch command to each worker."""
+
         def matches(_method, path, body):
             return path == "/commands" and any(order["verb"] == "launch" for order in body["orders"])
 
@@ -213,52 +232,61 @@
             worker.late.append((matches, float(seconds)))
 
     def late_hire(self, seconds):
+        """Delays the next request to rent machines."""
         self._world.cloud.late.append(
             (lambda method, path, _body: (method, path) == ("POST", "/hosts"), float(seconds))
         )
 
     def late_write(self, seconds):
+        """Delays the next transaction."""
         self._world.state.late.append((lambda _method, path, _body: path == "/multi", float(seconds)))
 
     def late_writes(self, share, seconds):
+        """Delays a share of the transactions for a while."""
         self._world.state.late_share = float(share), self._sim.time + float(seconds)
 
     # Machines
 
-    def _busiest(self):
-        """The machines that are up, those with the most tasks first."""
+    def _busiest_workers(self):
+        """Returns the workers that are up, those with the most tasks first."""
         return sorted(
             (worker for worker in self._world.cloud.rented.values() if worker.up and not worker.dead),
             key=lambda worker: (-len(worker.tasks), worker.name),
         )
 
     def die(self, count):
-        for worker in self._busiest()[: int(count)]:
+        """Ends the busiest machines without notice."""
+        for worker in self._busiest_workers()[: int(count)]:
             worker.end()
 
     def sick(self, count):
-        for worker in self._busiest()[: int(count)]:
+        """Makes every task fail on the busiest machines."""
+        for worker in self._busiest_workers()[: int(count)]:
             worker.sick = True
 
     def notice(self, count, seconds):
-        for worker in self._busiest()[: int(count)]:
+        """Gives the busiest machines notice that the cloud will reclaim them in `seconds`."""
+        for worker in self._busiest_workers()[: int(count)]:
             worker.notice_at = self._sim.time + float(seconds)
             worker.changed()
-            self._sim.call_later(float(seconds), self._take, worker)
+            self._sim.call_later(float(seconds), self._reclaim, worker)
 
-    def _take(self, worker):
+    def _reclaim(self, worker):
         self._world.cloud.rented.pop(worker.name, None)
         if not worker.dead:
             worker.end()
 
     def hang(self, place, seconds):
-        for worker in self._busiest()[int(place) : int(place) + 1]:
+        """Makes a worker hang, the one at index `place` of the busiest."""
+        for worker in self._busiest_workers()[int(place) : int(place) + 1]:
             worker.hang(float(seconds))
 
     def stuck(self, count):
+        """Makes the next `count` rented machines never finish booting."""
         self._world.stuck_boots = int(count)
 
     def deaf(self, share, seconds):
+        """Drops all responses and commands to a share of the workers."""
         up = [worker for worker in self._world.cloud.rented.values() if worker.up and not worker.dead]
         for worker in self._sim.random.sample(up, round(float(share) * len(up))):
             worker.deaf_until = self._sim.time + float(seconds)
--- a/roadhead/local/sim.py
+++ b/roadhead/local/sim.py
@@ -1,4 +1,4 @@
-"""Virtual time and a virtual network: the same loops and streams as in production, no sockets."""
+"""Virtual time and a virtual network, with the interfaces of the production event loop and streams."""
 
 import random
 
@@ -7,12 +7,14 @@
 
 
 class NoSelector:
+    """Stands in for the I/O selector: a simulation has no sockets to poll."""
+
     def select(self, _timeout):
         return ()
 
 
 class Sim(Loop):
-    """The one real scheduler: advances its clock to the next timer whenever nothing is ready."""
+    """The event loop of the simulation: advances its clock to the next timer whenever nothing is ready."""
 
     def __init__(self, seed):
         self.time = 0.0
@@ -20,6 +22,7 @@
         super().__init__(lambda: self.time, NoSelector())
 
     def run_until(self, end):
+        """Runs the simulation until the virtual time `end`."""
         while True:
             if self.idle:
                 when = self.next_timer()
@@ -31,11 +34,11 @@
 
 
 class HostLoop(Loop):
-    """A host's view of the simulation: its own drifting clock, and silence once it is dead.
+    """The event loop of one simulated host: has its own drifting clock and runs nothing once it is dead.
 
-    With `turn_s`, seconds that a busy process takes for a turn of its loop, what arrived meanwhile is read
-    at the turn's end: each connection in its order, the connections among one another in any. What a turn
-    sends leaves at some moment of it.
+    `turn_s` is the time in seconds that a busy process takes for one iteration of its loop. Packets that
+    arrive meanwhile are read at the end of the iteration: in order within a connection, in random order
+    among connections. Packets that it sends leave at a random moment of the iteration.
     """
 
     def __init__(self, sim, rate=1.0, offset=0.0, turn_s=0.0):
@@ -45,16 +48,16 @@
         self.turn_s = turn_s
         self.alive = True
         self.hung = False
-        self._held = []
-        self._packets = []
-        self._unread = {}  # connection's end -> [(callback, its arguments)], for the end of this turn
+        self._held_callbacks = []
+        self._held_packets = []
+        self._unread = {}  # receiving stream -> [(callback, its arguments)], read when this iteration ends
         super().__init__(lambda: sim.time * rate + offset, NoSelector())
 
     def _go(self, fn, args):
         if not self.alive:
             return
         if self.hung:
-            self._held.append((fn, args))
+            self._held_callbacks.append((fn, args))
         else:
             fn(*args)
 
@@ -73,28 +76,28 @@
         return timer
 
     def deliver(self, delay, fn, *args):
-        """A packet comes in; while the host stands still it lies in the socket."""
+        """Delivers a packet after `delay` seconds; while the host hangs, the packet waits in its socket."""
 
         def arrive():
             if self.alive and self.hung:
-                self._packets.append((fn, args))
+                self._held_packets.append((fn, args))
             elif self.alive and self.turn_s:
-                self._wait_for_turn(fn, args)
+                self._queue_for_turn(fn, args)
             elif self.alive:
                 fn(*args)
 
         self.sim._push(Timer(self.sim.time + delay, arrive, ()))
 
-    def _wait_for_turn(self, fn, args):
+    def _queue_for_turn(self, fn, args):
         if not self._unread:
-            self.sim._push(Timer(self.sim.time + self.turn_s, self._read_all, ()))
+            self.sim._push(Timer(self.sim.time + self.turn_s, self._deliver_unread, ()))
         self._unread.setdefault(fn.__self__, []).append((fn, args))
 
-    def _read_all(self):
+    def _deliver_unread(self):
         unread, self._unread = list(self._unread.values()), {}
         packets = [packet for connection in self._shuffled(unread) for packet in connection]
         if self.hung:
-            self._packets += packets
+            self._held_packets += packets
         elif self.alive:
             for fn, args in packets:
                 fn(*args)
@@ -103,35 +106,38 @@
         return self.sim.random.sample(connections, len(connections))
 
     def hang(self):
+        """Stops executing callbacks and timers until `wake`."""
         self.hung = True
-        self._hung_at = self.now()
+        self._hung_since = self.now()
 
     def wake(self):
-        """As the real loop does it: what lies in the sockets is read before any timer runs."""
+        """Resumes a hung host: as in the real loop, buffered packets are read before any timer runs."""
         self.hung = False
-        packets, self._packets = self._packets, []
-        held, self._held = self._held, []
+        packets, self._held_packets = self._held_packets, []
+        held, self._held_callbacks = self._held_callbacks, []
         self.catching_up = True
         for fn, args in packets:
             self.call_soon(fn, *args)
 
-        def go_on():
+        def resume():
             self.catching_up = False
             if self.on_stall is not None and self.alive:
-                self.on_stall(self.now() - self._hung_at)
+                self.on_stall(self.now() - self._hung_since)
             for fn, args in held:
                 self.call_soon(fn, *args)
 
-        self.sim._push(Timer(self.sim.time + 1e-6, go_on, ()))
+        self.sim._push(Timer(self.sim.time + 1e-6, resume, ()))
 
 
 class SimStream:
+    """One end of a simulated connection, with the interface of a production stream."""
+
     def __init__(self, net, host, peer_host):
         self._net = net
         self.host = host
         self.peer_host = peer_host
         self.peer = None
-        self.whole_at = 0.0  # when all that was sent here has arrived: what follows comes no earlier
+        self.last_arrival_at = 0.0  # later packets arrive no earlier, which keeps their order
         self.closed = False
         self._eof = False
         self._chunks = []
@@ -174,30 +180,36 @@
 
 
 class Network:
-    """Carries bytes between hosts with a latency, each connection's in order; cuts hold them back or lose
-    them."""
+    """Carries bytes between hosts with a latency, in order within each connection.
+
+    A cut between two hosts either delays their packets until it ends or drops them.
+    """
 
     def __init__(self, sim, latency=0.001):
         self.sim = sim
         self.latency = latency
         self.listeners = {}  # address -> (host, on_stream)
         self.loops = {}  # host -> HostLoop
-        self.cuts = {}  # frozenset(host, host) -> [mode, held]
-        self.limits = {}  # host -> sockets that it may have
+        self.cuts = {}  # frozenset((host, host)) -> [mode, held packets]
+        self.limits = {}  # host -> maximum number of open sockets
         self._streams = []
 
     def full(self, host):
+        """Returns whether a host has reached its limit of open sockets."""
         limit = self.limits.get(host)
         return limit is not None and sum(stream.host == host for stream in self._streams) >= limit
 
     def host(self, name, loop):
+        """Adds a host and returns its network interface."""
         self.loops[name] = loop
         return HostNet(self, name, loop)
 
     def cut_between(self, a, b):
+        """Returns the cut between two hosts, or None."""
         return self.cuts.get(frozenset((a, b)))
 
     def carry(self, stream, data):
+        """Sends bytes, or an end of stream if `data` is None, from one end of a connection to the other."""
         cut = self.cut_between(stream.host, stream.peer_host)
         if cut is not None:
             if cut[0] == "hold":
@@ -212,15 +224,18 @@
             return
         delay = self.latency
         if turn_s:
-            peer.whole_at = max(peer.whole_at, self.sim.time + delay + self.sim.random.uniform(0.0, turn_s))
-            delay = peer.whole_at - self.sim.time
+            peer.last_arrival_at = max(
+                peer.last_arrival_at, self.sim.time + delay + self.sim.random.uniform(0.0, turn_s)
+            )
+            delay = peer.last_arrival_at - self.sim.time
         loop.deliver(delay, peer._deliver, data)
 
     def cut(self, a, b, mode):
-        """`hold`: packets arrive once the cut ends; `lose`: they never do."""
+        """Cuts two hosts off: mode `hold` delays packets until the cut ends, mode `lose` drops them."""
         self.cuts[frozenset((a, b))] = [mode, []]
 
     def heal(self, a, b):
+        """Ends a cut: delivers held packets, or closes the connections that lost some."""
         cut = self.cuts.pop(frozenset((a, b)), None)
         if cut is not None:
             for peer, data in cut[1]:
@@ -231,6 +246,7 @@
                         stream._deliver(None)
 
     def kill(self, name):
+        """Ends a host with its listeners and connections."""
         loop = self.loops.pop(name, None)
         if loop is not None:
             loop.alive = False
@@ -244,6 +260,8 @@
 
 
 class HostNet:
+    """The network as one simulated host sees it, with the interface of the production network."""
+
     def __init__(self, network, name, loop):
         self._network = network
         self.name = name
@@ -269,9 +287,9 @@
         network._streams = [s for s in network._streams if not s.closed]
         if listener is None or network.full(self.name) or network.full(target):
             raise Closed("refused")
-        mine = SimStream(network, self.name, target)
-        theirs = SimStream(network, target, self.name)
-        mine.peer, theirs.peer = theirs, mine
-        network._streams += [mine, theirs]
-        network.loops[target].call_soon(listener[1], theirs)
-        return mine
+        local_end = SimStream(network, self.name, target)
+        remote_end = SimStream(network, target, self.name)
+        local_end.peer, remote_end.peer = remote_end, local_end
+        network._streams += [local_end, remote_end]
+        network.loops[target].call_soon(listener[1], remote_end)
+        return local_end
--- a/roadhead/local/state_service.py
+++ b/roadhead/local/state_service.py
@@ -1,4 +1,4 @@
-"""The emulated state service: versioned keys, leases, transactions, watches and limits."""
+"""Emulates the state service: versioned keys, leases, transactions, watches and limits."""
 
 import bisect
 import json
@@ -6,44 +6,47 @@
 from roadhead.local.server import Server
 from roadhead.runtime.loop import Future
 
-KEPT = 10_000  # changes that a watch can ask for
+MAX_LOG_EVENTS = 10_000  # older changes are compacted
 
 
 class StateService(Server):
-    """`keeper` saves every change before it is answered; without one nothing outlives the process."""
+    """Serves the state service's HTTP API.
+
+    `keeper` saves every change to disk before the response; without one, no data outlives the process.
+    """
 
     def __init__(self, world, address="10.2.0.1:2379", keeper=None):
         super().__init__(world, address.rpartition(":")[0], address)
         self.keeper = keeper
-        data, self.epoch, leases, self.permits = keeper.load() if keeper else ({}, 0, {}, 0)
-        self.data = data  # key -> (value, stamp, permit)
+        data, self.epoch, leases, self.last_lease_id = keeper.load() if keeper else ({}, 0, {}, 0)
+        self.data = data  # key -> (value, revision, id of its lease or None)
         self.log = []
-        self.log_from = self.epoch  # changes up to here are no longer kept
-        # permit -> [life, ends]; as after an outage, all have their full time
-        self.leases = {permit: [life, self.sim.time + life] for permit, life in leases.items()}
+        self.compacted_epoch = self.epoch  # changes up to this revision are no longer kept
+        # lease id -> [life_s, ends_at]; as after an outage, all leases get their full lifetime again
+        self.leases = {lease_id: [life_s, self.sim.time + life_s] for lease_id, life_s in leases.items()}
         self.down = False
-        self.refused_until = {}  # host -> when it is served again
-        self.slow_s = 0.0  # answers take up to so much longer
+        self.refused_until = {}  # host -> time until which its requests are answered with 503
+        self.slow_s = 0.0  # maximum extra time of a response
         self.requests = self.refused = self.oversized = 0
-        self.listed = 0  # items of pages under j/
-        self.levels = {name: (world.settings["state"][name], 0.0) for name in ("rps", "write_rps")}
-        self.waiters = []
-        self.loop.spawn(self._expire(), "leases")
+        self.listed = 0  # items returned in lists under j/
+        self.token_buckets = {name: (world.settings["state"][name], 0.0) for name in ("rps", "write_rps")}
+        self.watch_futures = []
+        self.loop.spawn(self._expire_leases(), "leases")
 
-    async def _expire(self):
+    async def _expire_leases(self):
         while True:
             await self.loop.sleep(0.05)
             if self.down:
                 continue
             now = self.sim.time
-            for permit in [p for p, (_, ends) in self.leases.items() if ends <= now]:
-                self._end(permit)
+            for lease_id in [p for p, (_, ends_at) in self.leases.items() if ends_at <= now]:
+                self._end_lease(lease_id)
 
-    def _end(self, permit):
-        del self.leases[permit]
+    def _end_lease(self, lease_id):
+        del self.leases[lease_id]
         if self.keeper:
-            self.keeper.lease(permit, None, self.permits)
-        keys = [k for k, (_, _, p) in self.data.items() if p == permit]
+            self.keeper.lease(lease_id, None, self.last_lease_id)
+        keys = [k for k, (_, _, p) in self.data.items() if p == lease_id]
         if keys:
             self.epoch += 1
             for key in keys:
@@ -51,27 +54,28 @@
                 self.log.append({"drop": key, "stamp": self.epoch})
             if self.keeper:
                 self.keeper.save(self.epoch, {}, keys)
-            self._wake()
+            self._wake_watches()
 
-    def _wake(self):
-        waiters, self.waiters = self.waiters, []
-        for waiter in waiters:
+    def _wake_watches(self):
+        watch_futures, self.watch_futures = self.watch_futures, []
+        for waiter in watch_futures:
             waiter.set()
 
     def refuse(self, host, seconds):
-        """503 for one controller, whose open watches wait as in an outage."""
+        """Answers one controller with 503 for `seconds`; its open watches get no response meanwhile."""
         self.refused_until[host] = max(self.sim.time + seconds, self.refused_until.get(host, 0.0))
 
     def outage(self, on):
+        """Starts or ends an outage; at its end, all leases get their full lifetime again."""
         self.down = on
         if not on:
             for lease in self.leases.values():
                 lease[1] = self.sim.time + lease[0]
-            self._wake()
+            self._wake_watches()
 
     async def handle(self, method, path, args, body, host):
         self.requests += 1
-        if not self._take("rps", 1):
+        if not self._take_tokens("rps", 1):
             self.refused += 1
             return 429, {"error": "too much"}
         await self.loop.sleep(0.004 + (self.slow_s and self.sim.random.uniform(0.0, self.slow_s)))
@@ -89,29 +93,29 @@
             key = path[len("/store/") :]
             if key not in self.data:
                 return 404, {"epoch": self.epoch}
-            value, stamp, permit = self.data[key]
-            return 200, {"k": key, "data": value, "stamp": stamp, "permit": permit}
+            value, revision, lease_id = self.data[key]
+            return 200, {"k": key, "data": value, "stamp": revision, "permit": lease_id}
         if path == "/multi":
             return self.multi(body)
         if path == "/leases":
-            self.permits += 1
-            life = body["lifeMs"] / 1000
-            self.leases[self.permits] = [life, self.sim.time + life]
+            self.last_lease_id += 1
+            life_s = body["lifeMs"] / 1000
+            self.leases[self.last_lease_id] = [life_s, self.sim.time + life_s]
             if self.keeper:
-                self.keeper.lease(self.permits, life, self.permits)
-            return 200, {"permit": self.permits}
+                self.keeper.lease(self.last_lease_id, life_s, self.last_lease_id)
+            return 200, {"permit": self.last_lease_id}
         if path.startswith("/leases/"):
-            permit = int(path.split("/")[2])
-            if permit not in self.leases:
+            lease_id = int(path.split("/")[2])
+            if lease_id not in self.leases:
                 return 404, {}
-            lease = self.leases[permit]
+            lease = self.leases[lease_id]
             lease[1] = self.sim.time + lease[0]
             return 200, {}
         if path == "/changes":
             after, prefix = int(args["after"]), args["under"]
-            ends = self.sim.time + int(args.get("waitMs", 0)) / 1000
+            ends_at = self.sim.time + int(args.get("waitMs", 0)) / 1000
             while True:
-                if after < self.log_from:
+                if after < self.compacted_epoch:
                     return 410, {}
                 newer = bisect.bisect_right(self.log, after, key=lambda event: event["stamp"])
                 found = [
@@ -119,21 +123,22 @@
                     for event in self.log[newer:]
                     if (event.get("put") or event.get("drop")).startswith(prefix)
                 ]
-                if not refused() and (found or self.sim.time >= ends):
+                if not refused() and (found or self.sim.time >= ends_at):
                     return 200, {"epoch": self.epoch, "log": found}
                 waiter = Future()
-                self.waiters.append(waiter)
-                timer = self.loop.call_later(max(0.05, ends - self.sim.time), waiter.set)
+                self.watch_futures.append(waiter)
+                timer = self.loop.call_later(max(0.05, ends_at - self.sim.time), waiter.set)
                 await waiter
                 timer.cancel()
         return 400, {}
 
     def put(self, key, value):
+        """Stores a value for a scenario; the change is not logged, so watches do not see it."""
         self.epoch += 1
         self.data[key] = (value, self.epoch, None)
 
-    def _too_much(self, body):
-        """What is beyond the limits, by the size as JSON that the protocol counts; None if nothing is."""
+    def _limit_violation(self, body):
+        """Returns which limit a transaction exceeds, or None; the protocol counts a value's size as JSON."""
         limits = self.world.settings["state"]
         writes = body["writes"]
         if len(writes) > limits["txn_ops"] or len(body["if"]) > 4 * limits["txn_ops"]:
@@ -143,20 +148,21 @@
                 return f"value too large: {write['put']}"
         return None
 
-    def _take(self, name, count):
-        """Whether so many are within that rate, with bursts of a second's worth."""
+    def _take_tokens(self, name, count):
+        """Takes `count` tokens of a rate limit with a burst of one second; returns whether it had them."""
         rate, now = self.world.settings["state"][name], self.sim.time
-        level, at = self.levels[name]
+        level, at = self.token_buckets[name]
         level = min(rate, level + (now - at) * rate)
-        taken = level >= count
-        self.levels[name] = (level - count * taken, now)
-        return taken
+        is_allowed = level >= count
+        self.token_buckets[name] = (level - count * is_allowed, now)
+        return is_allowed
 
     def multi(self, body):
-        if (text := self._too_much(body)) is not None:
+        """Executes a transaction and returns (status, body)."""
+        if (text := self._limit_violation(body)) is not None:
             self.oversized += 1
             return 400, {"error": text}
-        if not self._take("write_rps", len(body["writes"])):
+        if not self._take_tokens("write_rps", len(body["writes"])):
             self.refused += 1
             return 429, {"error": "too much"}
         failed = [c["k"] for c in body["if"] if self.data.get(c["k"], (None, 0, None))[1] != c["stamp"]]
@@ -166,9 +172,9 @@
         if failed:
             return 409, {"failed": failed, "epoch": self.epoch}
         if body["writes"]:
-            if len(self.log) > 2 * KEPT:
-                self.log_from = self.log[-KEPT - 1]["stamp"]
-                self.log = [event for event in self.log if event["stamp"] > self.log_from]
+            if len(self.log) > 2 * MAX_LOG_EVENTS:
+                self.compacted_epoch = self.log[-MAX_LOG_EVENTS - 1]["stamp"]
+                self.log = [event for event in self.log if event["stamp"] > self.compacted_epoch]
             self.epoch += 1
             for write in body["writes"]:
                 if "put" in write:
@@ -183,5 +189,5 @@
                     {w["put"]: self.data[w["put"]] for w in body["writes"] if "put" in w},
                     [w["drop"] for w in body["writes"] if "drop" in w],
                 )
-            self._wake()
+            self._wake_watches()
         return 200, {"epoch": self.epoch}
--- a/roadhead/local/user.py
+++ b/roadhead/local/user.py
@@ -1,4 +1,4 @@
-"""An emulated user: submits a job, asks for it until it is over, and checks what it is told."""
+"""Emulates a user: it submits a job, polls it until it has ended, and checks every response."""
 
 from typing import NamedTuple
 
@@ -8,17 +8,17 @@
 from roadhead.runtime.loop import Timeout
 from roadhead.wire.http import Client, NoAnswer
 
-UNTOLD = ("runS", "apartS", "faulty")  # what a scenario says of a job and its user does not know
+SIMULATION_FIELDS = ("runS", "apartS", "faulty")  # fields for the emulated worker, not part of a submission
 
 
-def _kind_of(method, path):
+def _question_of(method, path):
     if method == "GET":
         return Question.POLL
     return Question.CANCEL if path.endswith("/cancel") else Question.SUBMIT
 
 
 class Reply(NamedTuple):
-    """`status` is 0 if no answer came."""
+    """A response to a user's request; `status` is 0 if none came."""
 
     status: int
     body: dict | None
@@ -26,7 +26,7 @@
 
 
 class User:
-    """Submits a job and polls it until it is over, as the protocol says users do."""
+    """Submits a job and polls it until it has ended, as the protocol requires of users."""
 
     def __init__(self, world, job):
         self.world = world
@@ -38,11 +38,11 @@
         self.told_at = 0.0
         self.gave_up = False
         self.asked_to_cancel = False
-        self.answered_at = 0.0  # the last question about an accepted job
-        self.told_cancelled_at = None
+        self.answered_at = 0.0  # time of the last successful response
+        self.cancelled_seen_at = None
 
     async def _ask(self, method, path, body, timeout, via=None):
-        """A question and its answer, as a Reply, which the history of all answers keeps."""
+        """Sends a request, adds the response to the history of all responses, and returns it as a Reply."""
         world, asked_at = self.world, self.sim.time
         job_id = body["id"] if body is not None else path.split("/")[3]
         if body is not None:
@@ -52,7 +52,7 @@
         if status in REFUSED and self.may_be_removed:
             return Reply(status, answer, asked_at)
         state = answer.get("status") if isinstance(answer, dict) else None
-        question = _kind_of(method, path)
+        question = _question_of(method, path)
         for fault in world.history.add(
             Answer(job_id, question, front or "none", asked_at, self.sim.time, status, state)
         ):
@@ -60,7 +60,7 @@
         return Reply(status, answer, asked_at)
 
     def _front(self, via):
-        """The address to ask at: any that listens, or that of one controller; None if there is none."""
+        """Returns the address of a random live controller, or of controller `via`; None if it is down."""
         world = self.world
         fronts = [front for front in world.fronts_for(self.job) if front in world.network.listeners]
         if via is not None:
@@ -68,7 +68,7 @@
         return self.sim.random.choice(fronts) if fronts else None
 
     async def _send(self, method, path, body, timeout, front):
-        """(status, answer) of one front; (0, None) if there is no answer."""
+        """Returns (status, body) of a controller's response; (0, None) if there is none."""
         if front is None:
             return 0, None
         client = Client(self.world.user_loop, self.world.user_net, front, 0)
@@ -80,7 +80,7 @@
         return status, (cbor2.loads(data) if data else None)
 
     def _hear(self, reply):
-        """Learns from an answer of 200 or 201, and checks it against what really runs."""
+        """Takes the job's state from a response of 200 or 201, and checks it against what really runs."""
         world = self.world
         status, answer, asked_at = reply
         if status not in (200, 201):
@@ -88,7 +88,7 @@
         self.answered_at = self.sim.time
         state = answer["status"]
         if self.told in FINAL and state not in FINAL:
-            return  # an older answer to a question that overlapped, or a fault that the history has noted
+            return  # an older response to an overlapping request, or a violation reported by the history
         if (
             state == "cancelled"
             and not self.asked_to_cancel
@@ -97,33 +97,34 @@
             world.break_rule("went_back", f"{self.id}: nobody cancelled it")
         if state == "done" and not world.all_completed(self.job):
             world.break_rule("not_done", self.id)
-        if state == "cancelled" and self.told_cancelled_at is None:
-            self.told_cancelled_at = self.sim.time
+        if state == "cancelled" and self.cancelled_seen_at is None:
+            self.cancelled_seen_at = self.sim.time
             world.cancelled_at[self.id] = self.sim.time
         if state in ("pending", "running") and any(
             asked_at > told + world.settings["workers"]["cancel_s"] for told in world.cancelled_above(self.id)
         ):
             world.break_rule("orphaned", f"{self.id} is called {state}")
-        learned = state != self.told and (state in ("done", "cancelled") or self.told is None)
+        is_new = state != self.told and (state in ("done", "cancelled") or self.told is None)
         if self.told != state:
             self.told_at = self.sim.time
         self.told = state
-        if learned:
+        if is_new:
             world.injector.user_learned(self)
 
     @property
     def may_be_removed(self):
-        """Whether its job may be gone for good, as those of a removed tenant are."""
+        """Returns whether the job may have been deleted, as the jobs of a removed tenant are."""
         return False
 
     def described(self):
-        """Its job as submitted."""
-        return {k: v for k, v in self.job.items() if k not in UNTOLD}
+        """Returns the job as submitted."""
+        return {k: v for k, v in self.job.items() if k not in SIMULATION_FIELDS}
 
     async def run(self):
+        """Submits the job, polls it until it has ended, and checks that the end stays known."""
         loop = self.world.user_loop
         public = self.described()
-        # The jobs of a pipeline are submitted each as soon as those that it needs are accepted.
+        # A job of a pipeline is submitted as soon as its upstream jobs are accepted.
         while not all(
             self.world.users[name].accepted
             for name in public.get("upstream") or ()
@@ -147,13 +148,13 @@
         while self.told not in ("done", "cancelled"):
             await loop.sleep(4.0 + 2 * self.sim.random.random())
             self._hear(await self._ask("GET", f"/v1/jobs/{self.id}", None, 2.0))
-        # Long after the end, any controller must say the same.
+        # Long after its end, every controller must still report the same state.
         for _ in range(4):
             await loop.sleep(7.0)
             self._hear(await self._ask("GET", f"/v1/jobs/{self.id}", None, 2.0))
 
     async def submit_again(self):
-        """A retry long after the job was accepted, until it is answered."""
+        """Repeats the submission of an accepted job until it is answered."""
         public = self.described()
         while not self.accepted:
             await self.world.user_loop.sleep(1.0)
@@ -165,10 +166,11 @@
             await self.world.user_loop.sleep(1.0)
 
     async def poll(self, via=None):
-        """One question more, of the controller named."""
+        """Polls once more, at controller `via` if given."""
         self._hear(await self._ask("GET", f"/v1/jobs/{self.id}", None, 2.0, via))
 
     async def cancel(self, via=None):
+        """Cancels the job, retrying for up to a minute."""
         self.asked_to_cancel = True
         begun = self.sim.time
         while self.sim.time - begun < 60:
--- a/roadhead/local/worker.py
+++ b/roadhead/local/worker.py
@@ -1,4 +1,4 @@
-"""An emulated worker: reports, executes commands, and kills its tasks when its lease ends."""
+"""Emulates a worker: it reports, executes commands, and kills its tasks when its lease expires."""
 
 import cbor2
 
@@ -8,11 +8,11 @@
 from roadhead.runtime.loop import Future
 from roadhead.wire.http import Client, NoAnswer
 
-ANSWER_S = 4.0  # a worker drops the answer to a report that took longer (PROTOCOL)
+REPORT_TIMEOUT_S = 4.0  # a worker ignores a response that takes longer, as the protocol requires
 
 
 class TaskAttempt:
-    """An attempt on a worker."""
+    """One attempt to run a task, on one worker."""
 
     def __init__(self, task, attempt):
         self.task = task
@@ -21,10 +21,12 @@
         self.cause = None
         self.saved = False
         self.timer = None
-        self.ends_at = 0.0  # when it will be done, if it runs
+        self.ends_at = 0.0  # virtual time at which a running attempt will be done
 
 
 class Worker(Server):
+    """A worker machine: boots, reports to controllers, serves commands, and runs tasks by timers."""
+
     def __init__(self, world, name, number, kind, zone, spot, address=None):
         self.address = address or f"10.1.{number // 200}.{number % 200 + 1}:9000"
         super().__init__(world, self.address.rpartition(":")[0], self.address)
@@ -40,21 +42,23 @@
         self.sequence = 0
         self.token = 0
         self.notice_at = None
-        self.deaf_until = 0.0  # until then answers and commands to it are lost
-        self.mute_until = 0.0  # until then it opens no connection to a controller
+        self.deaf_until = 0.0  # until then, responses and commands to it are lost
+        self.mute_until = 0.0  # until then, it opens no connection to a controller
         self.tasks = {}  # (task, attempt) -> TaskAttempt
         self.report_s = world.settings["workers"]["report_s"]
         self.lease_s = world.settings["workers"]["lease_s"]
         self.loop.spawn(self._live(), name)
 
     def listed(self):
+        """Returns the machine's status in the cloud's list."""
         if self.dead:
-            return "failed" if self.sim.time - self.dead_at > 30 else "running"
+            return "failed" if self.sim.time - self.died_at > 30 else "running"
         return "running" if self.up else "starting"
 
     def end(self):
+        """Ends the machine with everything that runs on it."""
         self.dead = True
-        self.dead_at = self.sim.time
+        self.died_at = self.sim.time
         for item in list(self.tasks.values()):
             self._leave(item)
         self.tasks.clear()
@@ -71,35 +75,37 @@
         self.up = True
         self.renewed_at = self.loop.now()
         self.loop.spawn(self._watch_lease(), "lease")
-        nodes = self.world.fronts
-        at = self.sim.random.randrange(len(nodes))
+        fronts = self.world.fronts
+        front_index = self.sim.random.randrange(len(fronts))
         self.wanted = None
         clients = {}
         while True:
             if self.sim.time < self.mute_until:
-                for kept in clients.values():
-                    kept.close()
+                for open_client in clients.values():
+                    open_client.close()
                 clients.clear()
-                await self.loop.sleep(5.0)  # for an attempt to connect, and before the next one
-                at += 1
+                await self.loop.sleep(
+                    5.0
+                )  # the time of a connection attempt and the pause before the next one
+                front_index += 1
                 continue
-            front = nodes[at % len(nodes)]
+            front = fronts[front_index % len(fronts)]
             client = clients.setdefault(front, Client(self.loop, self.net, front, 1))
             sent_at, session = self.loop.now(), self.session
             body = cbor2.dumps(self.report())
             if self.world.fault_windows.late_reports.strikes(self.sim):
-                self.loop.spawn(self._again(front, body), "late copy")
+                self.loop.spawn(self._send_late_copy(front, body), "late copy")
             if self.world.fault_windows.reports_for_next.strikes(self.sim):
                 self.world.injector.keep_report(self, body)
             if self.world.fault_windows.slow_reports.strikes(self.sim):
                 await self.loop.sleep(self.sim.random.uniform(*SLOW_REPORT_S))
             try:
-                left_s = sent_at + ANSWER_S - self.loop.now()
+                left_s = sent_at + REPORT_TIMEOUT_S - self.loop.now()
                 status, data, _ = await client.request("POST", "/v1/report", body, left_s)
                 if self.sim.time < self.deaf_until:
                     status, data = 0, b""
                     client.close()
-                    await self.loop.sleep(max(0.0, sent_at + ANSWER_S - self.loop.now()))
+                    await self.loop.sleep(max(0.0, sent_at + REPORT_TIMEOUT_S - self.loop.now()))
             except NoAnswer:
                 status, data = 0, b""
             if status == 200:
@@ -116,16 +122,16 @@
                 await self.wanted
                 timer.cancel()
                 continue
-            boss = cbor2.loads(data).get("boss") if status == 421 and data else None
-            if boss in self.world.labels and self.world.labels.index(boss) != at % len(nodes):
-                at = self.world.labels.index(boss)
+            leader = cbor2.loads(data).get("boss") if status == 421 and data else None
+            if leader in self.world.labels and self.world.labels.index(leader) != front_index % len(fronts):
+                front_index = self.world.labels.index(leader)
                 await self.loop.sleep(self.sim.random.uniform(0, 0.5))
             else:
-                at += 1
+                front_index += 1
                 await self.loop.sleep(1.0)
 
-    async def _again(self, front, body):
-        """A copy of a report arrives late, and nobody hears the answer to it."""
+    async def _send_late_copy(self, front, body):
+        """Delivers a second copy of a report late, whose response nobody reads."""
         await self.loop.sleep(self.sim.random.uniform(2.0, 3 * self.lease_s))
         try:
             await Client(self.loop, self.net, front, 0).request("POST", "/v1/report", body, 4.0)
@@ -140,10 +146,12 @@
                 self.changed()
 
     def changed(self):
+        """Wakes the report loop, as a status change is reported at once."""
         if getattr(self, "wanted", None) is not None:
             self.wanted.set()
 
     def report(self):
+        """Returns the next report, as sent to controllers."""
         self.sequence += 1
         notice = None if self.notice_at is None else max(0.0, self.notice_at - self.sim.time)
         return {
@@ -176,6 +184,7 @@
         return 200, self.report()
 
     def execute(self, orders):
+        """Carries out the commands of a controller."""
         for order in orders:
             key = (order["leg"], order["try"])
             item = self.tasks.get(key)
@@ -186,7 +195,7 @@
                 if item.status == "running" and job["musterS"] > 0 and order["letgoS"] >= job["stowS"]:
                     item.status = "saving"
                     item.timer.cancel()
-                    item.timer = self.loop.call_later(job["stowS"], self._saved, item)
+                    item.timer = self.loop.call_later(job["stowS"], self._finish_saving, item)
                 elif item.status != "saving" or order["letgoS"] == 0:
                     self._exit(item, "stopped")
             elif order["verb"] == "forget" and item is not None and item.status == "exited":
@@ -221,6 +230,7 @@
             self.run(item)
 
     def run(self, item):
+        """Starts to run a task whose image is there and whose gang, if any, is complete."""
         item.status = "running"
         job = self.world.job_of(item.task)
         run_s = job["runS"] * self.sim.random.uniform(0.9, 1.1) + (
@@ -235,26 +245,29 @@
             item.ends_at = self.sim.time + run_s
         self.changed()
 
-    def left_of(self, task):
-        """Seconds for which a task still runs here."""
+    def remaining_s(self, task):
+        """Returns for how many more seconds a task will run here."""
         ends = [i.ends_at for i in self.tasks.values() if i.task == task and i.status == "running"]
         return max(ends, default=0.0) - self.sim.time
 
-    def _saved(self, item):
+    def _finish_saving(self, item):
         item.saved = True
         self._exit(item, "stopped")
 
     def hang(self, seconds):
-        """Executes nothing for a while. If its lease ends meanwhile, its tasks are killed
-        before it does anything else, so they count as gone from that moment on."""
+        """Executes nothing for `seconds`.
+
+        If its lease expires meanwhile, its tasks are killed before it does anything else, so they count as
+        gone from that moment on.
+        """
         self.loop.hang()
         left = self.renewed_at + self.lease_s - self.loop.now()
 
-        def lease_ends():
+        def expire_lease():
             if self.loop.hung and not self.dead:
                 self._end_session()
 
-        self.sim.call_later(left / self.loop.rate, lease_ends)
+        self.sim.call_later(left / self.loop.rate, expire_lease)
         self.sim.call_later(seconds, self.loop.wake)
 
     def _end_session(self):
--- a/roadhead/local/world.py
+++ b/roadhead/local/world.py
@@ -1,4 +1,4 @@
-"""A whole deployment in virtual time, driven by a scenario's text."""
+"""Simulates a whole deployment in virtual time: real controllers and emulated services, run by a scenario."""
 
 import logging
 import random
@@ -21,12 +21,12 @@
 from roadhead.node import Node
 from roadhead.settings import Tuning, parse
 
-EPOCH_S = 1e9  # the time of day at which a simulation begins
-EXPLAINED_MOST = 3
+EPOCH_S = 1e9  # Unix time at which a simulation begins
+MAX_EXPLANATIONS = 3
 
 
 class Failures(logging.Handler):
-    """Callbacks and routines that failed: the loop goes on without them, a scenario does not."""
+    """Collects the errors of callbacks and coroutines, which an event loop survives but fail a scenario."""
 
     def __init__(self):
         super().__init__(logging.ERROR)
@@ -37,7 +37,10 @@
 
 
 class World:
-    """Controllers as they run in production, with all that they talk to emulated around them."""
+    """Runs the controllers' production code in a simulation that emulates everything they communicate with.
+
+    `text` is a scenario, as `roadhead.local.scenario` parses it.
+    """
 
     def __init__(self, text):
         self.failures = Failures()
@@ -52,14 +55,14 @@
             "state": {name: options[name] for name in ("rps", "write_rps", "value_kb", "txn_ops")},
             "cloud": {"rps": 9.0, "list_lag_s": options["list_lag_s"]},
         }
-        self._make_records()
+        self._init_records()
         self.zones = ("north", "south")
         self.labels = [f"ctl-{number}" for number in range(options["controllers"])]
         self.fronts = [f"10.0.0.{number + 1}:8080" for number in range(options["controllers"])]
         self._make_emulators()
         self.nodes = {}
-        self.explanations = []  # of broken rules: [(decision_log.Entry, label of its controller)]
-        self._decisions = []  # (label, DecisionLog) of all processes, those that ended too
+        self.explanations = []  # one per explained violation: [(decision_log.Entry, controller label)]
+        self._decisions = []  # (controller label, DecisionLog) of all processes, including ended ones
         self.tenancy = None
         if options["gateways"]:
             self.tenancy = Tenancy(self, options["gateways"])
@@ -69,23 +72,23 @@
         self.sim.spawn(self.rules.watch(), "checks")
         self.sim.spawn(WaitingCheck(self).watch(), "waiting check")
 
-    def _make_records(self):
-        """What happened, and what is to happen, as the emulators and the checks need it."""
+    def _init_records(self):
+        """Creates the state that the emulators and checks share: what has happened and what is to happen."""
         lease_s = self.options["lease_s"]
         self.fetch_s = self.options["fetch_s"]
         self.gang_wait_s, self.gang_peer_s = 3 * lease_s, 0.7 * lease_s
         self.gangs = {}  # (job, attempt) -> Gang
-        self.together = set()  # gangs that ran, all of them at once
+        self.together = set()  # ids of gang jobs whose tasks all ran at the same time
         self.stuck_boots = 0
         self.no_rooms = 0
-        self.killed = 0  # tasks, by their workers' leases
-        self.given_back = 0  # tasks, with machines returned to the cloud
+        self.killed = 0  # tasks killed because their worker's lease expired
+        self.given_back = 0  # tasks lost because their machine was released to the cloud
         self.jobs = {}
         self.users = {}
         self.refusals = {}
         self.storms = []
         self.fault_windows = FaultWindows()
-        self.history = History()  # of all answers to users
+        self.history = History()  # all responses to users
         self.rules = RuleChecker(self)
         self.broken, self.completed = self.rules.broken, self.rules.completed
         self.running, self.started = self.rules.running, self.rules.started
@@ -94,7 +97,7 @@
     def _make_emulators(self):
         self.injector = FaultInjector(self)
         self.state = StateService(self)
-        kinds = [
+        machine_types = [
             {
                 "name": "box",
                 "vcpus": 4,
@@ -108,7 +111,7 @@
                 "paddocks": list(self.zones),
             }
         ]
-        self.cloud = CloudApi(self, kinds, self.options["capacity"])
+        self.cloud = CloudApi(self, machine_types, self.options["capacity"])
         self.user_loop = self.host_loop("10.9.0.1")
         self.user_net = self.network.host("10.9.0.1", self.user_loop)
 
@@ -155,7 +158,7 @@
         return teams if len(teams) == 1 else [*teams, {"name": FREE, "cpus_max": 0.0}]
 
     def fronts_for(self, _job):
-        """The controllers that a job's user may ask."""
+        """Returns the addresses of the controllers that a job's user may contact."""
         return self.fronts
 
     def later_limits(self):
@@ -166,34 +169,34 @@
         }
 
     def node_class(self, _number):
-        """The version that a controller runs: (its Node, Tuning and parse)."""
+        """Returns the (Node, Tuning, parse) of the software version that a controller runs."""
         return Node, Tuning, parse
 
     def start(self, number):
         if number in self.nodes:
-            return  # crashed twice, and back already
+            return  # after two crashes in a row, the first restart has already happened
         host = f"10.0.0.{number + 1}"
         if self.options["sockets"]:
             self.network.limits[host] = self.options["sockets"]
         loop = self.host_loop(host, self.options["turn_s"])
         net = self.network.host(host, loop)
-        node_kind, tuning, read = self.node_class(number)
-        node = node_kind(
+        node_type, tuning, parse_settings = self.node_class(number)
+        node = node_type(
             loop,
             net,
-            read(self._settings_of(number)),
-            self._tuned(tuning()),
+            parse_settings(self._settings_of(number)),
+            self._apply_options(tuning()),
             random.Random(self.sim.random.random()),
             time_of_day=lambda: EPOCH_S + self.sim.time,
             hosted=self.tenancy.desk(loop) if self.tenancy is not None else None,
         )
         self.nodes[number] = node
-        if hasattr(node, "decisions"):  # the version that serves today may keep none
+        if hasattr(node, "decisions"):  # an older version may have no decision log
             self._decisions.append((node.label, node.decisions))
         node.start()
 
-    def _tuned(self, tuning):
-        """The operators' settings of a controller; the version that serves today may know fewer."""
+    def _apply_options(self, tuning):
+        """Applies the scenario's options to a controller's tuning; an older version may have fewer fields."""
         if self.options["partitions"] > 1 and hasattr(tuning.membership, "quota_partitions"):
             tuning.membership.quota_partitions = self.options["partitions"]
         return tuning
@@ -203,7 +206,7 @@
         self.nodes.pop(number, None)
         self.sim.call_later(back_after, self.start, number)
 
-    # What the emulators tell
+    # Calls from the emulators
 
     def job_of(self, task):
         return self.jobs.get(task.rpartition("/")[0])
@@ -212,9 +215,12 @@
         return self.rules.all_completed(job)
 
     def explain(self, *wanted):
-        """Keeps what the controllers decided on the machines and tasks of a broken rule, for the first few:
-        `wanted` are (name, value) pairs, as ("machine", "n-000020")."""
-        if len(self.explanations) < EXPLAINED_MOST:
+        """Records the controllers' decisions on the machines and tasks of a violation.
+
+        Only the first `MAX_EXPLANATIONS` violations are explained. `wanted` are (name, value) pairs such as
+        ("machine", "n-000020").
+        """
+        if len(self.explanations) < MAX_EXPLANATIONS:
             self.explanations.append(
                 sorted(
                     (
@@ -227,7 +233,7 @@
             )
 
     def explanation_lines(self):
-        """The explanations as text, a line a decision."""
+        """Returns the explanations as text, one line per decision."""
         return [
             f"{entry.at - EPOCH_S:.2f} {label} {entry.line()}"
             for entries in self.explanations
@@ -257,7 +263,7 @@
     def above(self, job_id):
         return self.rules.above(job_id)
 
-    # What a scenario does
+    # Calls from the scenario
 
     def new_user(self, job):
         return User(self, job)
@@ -268,7 +274,7 @@
     def do(self, words):
         verb, *rest = words
         if verb not in self._verbs.table:
-            raise ValueError(f"scenario: {words}")
+            raise ValueError(f"unknown scenario verb {verb!r} in {words}")
         self._verbs.table[verb](*rest)
 
     def run(self):
@@ -282,21 +288,21 @@
             logger.removeHandler(self.failures)
         return self
 
-    # What came of it
+    # Results
 
     @property
     def longest_gone(self):
-        """For how many seconds, after its user was told of a cancellation, a task was still there."""
+        """Returns the longest time, in seconds, that a task ran on after its user saw its job cancelled."""
         return self.rules.longest_gone
 
     def counter(self, name):
         return sum(node.counters.counts.get(name, 0) for node in self.nodes.values())
 
     def check(self):
-        """Faults against the rules and the scenario's expectations."""
+        """Returns the violations, the logged errors and the unmet expectations, as texts."""
         for requests in self.injector.odd_requests:
             requests.check()
         faults = [*self.broken, *self.failures.texts[:3]]
         if self.counter("duties_failed"):
-            faults.append("a duty failed")
+            faults.append("a periodic duty failed (counter duties_failed)")
         return faults + expectations.faults_of(self)
