--- a/roadhead/local/__init__.py
+++ b/roadhead/local/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems, in virtual time and as processes on loopback, and a cluster of them."""
+"""Emulators of the external systems, in virtual time and as local processes, and a cluster that uses them."""
--- a/roadhead/local/cloud_api.py
+++ b/roadhead/local/cloud_api.py
@@ -1,28 +1,30 @@
-"""The emulated cloud: rents machines, and lists them late."""
+"""Emulates the cloud: it rents machines, and its list of them is out of date."""
 
 from roadhead.local.server import Server
 from roadhead.local.worker import Worker
 
 
 class CloudApi(Server):
-    def __init__(self, world, kinds, capacity, address="10.2.0.2:8443"):
+    """Serves the cloud's HTTP API; rents at most `capacity` machines of each type in each zone."""
+
+    def __init__(self, world, machine_types, capacity, address="10.2.0.2:8443"):
         super().__init__(world, address.rpartition(":")[0], address)
-        self.kinds = kinds
+        self.machine_types = machine_types
         self.capacity = capacity
         self.rented = {}  # name -> Worker
-        self.hires = {}
-        self.names = 0
-        self.history = []  # (when, listing)
+        self.hires = {}  # idempotency key of a request to rent -> names of the machines
+        self.names = 0  # number of machines ever rented
+        self.listings = []  # (time, list of machines)
         self.down = False
-        self.loop.spawn(self._record(), "history")
+        self.loop.spawn(self._record_listings(), "history")
 
-    async def _record(self):
+    async def _record_listings(self):
         while True:
-            self.history.append((self.sim.time, self._now()))
-            del self.history[:-200]
+            self.listings.append((self.sim.time, self._list_machines()))
+            del self.listings[:-200]
             await self.loop.sleep(0.25)
 
-    def _now(self):
+    def _list_machines(self):
         return [
             {
                 "id": w.name,
@@ -41,7 +43,7 @@
         if self.down:
             return 503, {"error": "trouble"}
         if path == "/catalog":
-            return 200, {"rigs": self.kinds}
+            return 200, {"rigs": self.machine_types}
         if path == "/hosts" and method == "POST":
             if body["hire"] in self.hires:
                 return 200, {"drovers": self.hires[body["hire"]]}
@@ -51,11 +53,11 @@
             self.hires[body["hire"]] = names
             return 200, {"drovers": names}
         if path == "/hosts":
-            # At times twice as late as usual, so that a list can be older than the one before.
+            # Sometimes twice the usual lag, so that a list can be older than the one before it.
             lag = self.world.settings["cloud"]["list_lag_s"] * self.sim.random.choice((0.5, 1, 1, 2))
-            before = [listing for when, listing in self.history if when <= self.sim.time - lag]
+            visible = [listing for when, listing in self.listings if when <= self.sim.time - lag]
             after = args.get("after", "")
-            listing = [m for m in (before[-1] if before else []) if m["id"] > after]
+            listing = [m for m in (visible[-1] if visible else []) if m["id"] > after]
             return 200, {"drovers": listing[:500], "hasNext": len(listing) > 500}
         if path == "/hosts/release":
             for name in body["drovers"]:
@@ -67,17 +69,19 @@
         return 400, {}
 
     def rent(self, kind_name, zone, spot, count):
+        """Rents up to `count` machines and returns their names."""
         names = []
         for _ in range(count):
-            here = sum(w.kind["name"] == kind_name and w.zone == zone for w in self.rented.values())
-            if here >= self.capacity:
+            rented_here = sum(w.kind["name"] == kind_name and w.zone == zone for w in self.rented.values())
+            if rented_here >= self.capacity:
                 break
             self.names += 1
             name = f"n-{self.names:06d}"
-            kind = next(k for k in self.kinds if k["name"] == kind_name)
+            kind = next(k for k in self.machine_types if k["name"] == kind_name)
             self.rented[name] = self.new_worker(name, self.names, kind, zone, spot)
             names.append(name)
         return names
 
     def new_worker(self, name, number, kind, zone, spot):
+        """Returns the worker on a new machine."""
         return Worker(self.world, name, number, kind, zone, spot)
--- a/roadhead/local/cluster.py
+++ b/roadhead/local/cluster.py
@@ -1,4 +1,4 @@
-"""A whole service on one machine: real processes on loopback, started, watched and ended here."""
+"""Runs a whole service on one machine, as processes on loopback that it starts, supervises and ends."""
 
 import contextlib
 import http.client
@@ -23,9 +23,9 @@
 from roadhead.tenants.keys import Secrets
 from roadhead.wire import messages
 
-CONTROLLERS = 3
+CONTROLLER_COUNT = 3
 TENANT, TEAM = "local", "local"
-TRIES = 3  # failures of one task before its job is given up
+MAX_TASK_FAILURES = 3  # exits of one task with an error before its job is cancelled
 SETTINGS = {
     "workers": {"report_s": 0.5, "lease_s": 5.0, "cancel_s": 15.0},
     "state": {"rps": 400.0, "write_rps": 100.0, "value_kb": 8.0, "txn_ops": 16},
@@ -34,29 +34,29 @@
 
 
 class Failed(Exception):
-    """The cluster, or a job file, is not what it should be; the text is for the user."""
+    """The cluster failed, or a job file is invalid; the text is for the user."""
 
 
 class Cluster:
-    """`directory` keeps everything that outlives the processes, their addresses included."""
+    """A cluster of local processes. `directory` keeps their data and addresses across restarts."""
 
     def __init__(self, directory, program):
         self.directory = Path(directory).resolve()
         self.directory.mkdir(parents=True, exist_ok=True)
-        self._plan_file = self.directory / "cluster.json"
-        if self._plan_file.exists():
-            self.plan = json.loads(self._plan_file.read_text())
+        self._plan_path = self.directory / "cluster.json"
+        if self._plan_path.exists():
+            self.plan = json.loads(self._plan_path.read_text())
         else:
             self.plan = self._new_plan()
         self.plan["program"] = program
-        self._plan_file.write_text(json.dumps(self.plan))
+        self._plan_path.write_text(json.dumps(self.plan))
         self._write_settings()
         self._secrets = Secrets((self.directory / "secret").read_bytes().strip())
         self.processes = {}  # name -> Popen
         self.key = None
 
     def _new_plan(self):
-        labels = [f"controller-{number}" for number in range(CONTROLLERS)]
+        labels = [f"controller-{number}" for number in range(CONTROLLER_COUNT)]
         return {
             "labels": labels,
             "settings": SETTINGS,
@@ -120,6 +120,7 @@
         return ["serve", "--config", str(self.directory / f"{name}.json"), *hosted]
 
     def start(self):
+        """Starts all processes and waits until they are ready. Raises Failed if they aren't in time."""
         (self.directory / "logs").mkdir(exist_ok=True)
         for name in ("state", "cloud", *self.plan["labels"], "gateway"):
             self._start(name)
@@ -136,16 +137,18 @@
             )
 
     def mend(self):
-        """Starts again whatever has ended; names of those."""
+        """Restarts the processes that have ended; returns their names."""
         ended = [name for name, process in self.processes.items() if process.poll() is not None]
         for name in ended:
             self._start(name)
         return ended
 
     def crash(self, name):
+        """Kills a process."""
         self.processes[name].kill()
 
     def stop(self):
+        """Kills all processes and waits for their end."""
         for process in self.processes.values():
             process.kill()
         for process in self.processes.values():
@@ -156,7 +159,9 @@
         addresses = [*self.plan["fronts"], self.plan["tenants"]]
         while addresses:
             if time.monotonic() > deadline:
-                raise Failed(f"not ready after 30 s; its logs are in {self.directory / 'logs'}")
+                raise Failed(
+                    f"{', '.join(addresses)} not ready after 30 s; the logs are in {self.directory / 'logs'}"
+                )
             addresses = [
                 address for address in addresses if self._request(address, "GET", "/ready")[0] != 200
             ]
@@ -166,7 +171,7 @@
 
     @staticmethod
     def _request(address, method, path, body=None, headers=(), cbor=False):
-        """(status, answer); 0 if there was none."""
+        """Sends a request; returns (status, body), or (0, None) if no response came."""
         connection = http.client.HTTPConnection(address, timeout=5)
         data = None
         if body is not None:
@@ -185,17 +190,17 @@
         return response.status, json.loads(data)
 
     def _insist(self, *request, headers=(), cbor=False):
-        """Repeats a request until it has a final answer."""
+        """Repeats a request until its response is final. Raises Failed after a minute."""
         deadline = time.monotonic() + 60
         while time.monotonic() < deadline:
             status, answer = self._request(*request, headers=headers, cbor=cbor)
             if status not in (0, 429, 500, 503):
                 return status, answer
             time.sleep(0.2)
-        raise Failed(f"{request[1]} {request[2]}: no answer for a minute")
+        raise Failed(f"{request[1]} {request[2]} at {request[0]}: no final response for a minute")
 
     def tenant(self):
-        """The tenant of this machine's user, made once; its key is told to nobody else."""
+        """Creates the tenant of this machine's user once; returns its API key, which nobody else gets."""
         address = self.plan["administration"]
         headers = [("Authorization", f"Bearer {self._secrets.root_key()}")]
         self._insist(
@@ -212,6 +217,7 @@
         return self.key
 
     def ask(self, method, path, body=None):
+        """Sends a request to the tenants' API; returns (status, body)."""
         return self._insist(
             self.plan["tenants"], method, path, body, headers=[("Authorization", f"Bearer {self.key}")]
         )
@@ -219,10 +225,14 @@
     # Jobs
 
     def job_id(self, job):
+        """Returns the id by which controllers know a job."""
         return ids.to_job(int(self.key.split("-")[1]), job.id)
 
     def submit(self, job, command):
-        """Uploads what the workers need of a job, then submits it."""
+        """Uploads a job's command for the workers, then submits the job.
+
+        Returns the id by which controllers know it. Raises Failed if it is refused.
+        """
         job_id = self.job_id(job)
         self._insist(
             self.plan["cloud"],
@@ -244,20 +254,21 @@
         return job_id
 
     def failures(self, job_id, tasks):
-        """(task, exit codes) of tasks of which every try failed, tries enough to give up."""
+        """Yields (task, exit codes) for tasks that only failed, at least `MAX_TASK_FAILURES` times."""
         for index in range(tasks):
             file = self.directory / "out" / f"{job_id}.{index}.exits"
             codes = file.read_text().split() if file.exists() else []
-            if len(codes) >= TRIES and "0" not in codes:
+            if len(codes) >= MAX_TASK_FAILURES and "0" not in codes:
                 yield index, codes
 
     def output(self, job_id, index):
+        """Returns what a task has printed so far."""
         file = self.directory / "out" / f"{job_id}.{index}.log"
         return file.read_text(errors="replace") if file.exists() else ""
 
 
 def read_jobs(path):
-    """[(Submission, command)] of a file of [[job]] tables. Raises Failed."""
+    """Returns [(Submission, command)] of a TOML file with [[job]] tables. Raises Failed if it is invalid."""
     try:
         with open(path, "rb") as file:
             tables = tomllib.load(file).get("job", [])
@@ -265,7 +276,9 @@
         for table in tables:
             command = table.pop("command", None)
             if not (isinstance(command, list) and command and all(isinstance(word, str) for word in command)):
-                raise Failed(f"{path}: job {table.get('id', '?')}: command: a list of texts")
+                raise Failed(
+                    f"{path}: job {table.get('id', '?')}: command must be a list of strings that is not empty"
+                )
             job = msgspec.convert({"team": TEAM, "class": "local", "expected_s": 1.0, **table}, Submission)
             jobs.append((job, command))
     except OSError as error:
@@ -273,28 +286,28 @@
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise Failed(f"{path}: {error}") from None
     if not jobs:
-        raise Failed(f"{path}: no [[job]]")
+        raise Failed(f"{path}: has no [[job]] table")
     if len({job.id for job, _command in jobs}) < len(jobs):
-        raise Failed(f"{path}: two jobs of one id")
+        raise Failed(f"{path}: two jobs have the same id")
     return jobs
 
 
 def run(cluster, path, crashes, timeout_s):
-    """Runs the jobs of a file; 0 if all were done, 1 if one failed or the time ran out."""
+    """Runs the jobs of a file; returns 0 if all were done, 1 if one failed or the time ran out."""
     jobs = read_jobs(path)
     cluster.tenant()
     total = sum(job.tasks for job, _command in jobs)
-    begun = time.monotonic()
+    started_at = time.monotonic()
     open_jobs = {cluster.submit(job, command): job for job, command in jobs}
-    rng = random.Random(0)
-    crash_at = [begun + 1.0 + 1.5 * number for number in range(crashes)]
+    random_generator = random.Random(0)
+    crash_at = [started_at + 1.0 + 1.5 * number for number in range(crashes)]
     done, failed = {}, []
     terminal = sys.stderr.isatty()
     with tqdm(total=total, unit="task", disable=not terminal) as bar:
-        while open_jobs and time.monotonic() - begun < timeout_s:
+        while open_jobs and time.monotonic() - started_at < timeout_s:
             if crash_at and time.monotonic() >= crash_at[0]:
                 crash_at.pop(0)
-                name = rng.choice(cluster.plan["labels"])
+                name = random_generator.choice(cluster.plan["labels"])
                 cluster.crash(name)
                 bar.write(f"crashed {name}")
             cluster.mend()
@@ -303,39 +316,40 @@
                 if status != 200:
                     continue
                 done[job_id] = job.tasks if answer["status"] == "done" else answer.get("done", 0)
-                faults = list(cluster.failures(job_id, job.tasks))
-                if faults:
+                failed_tasks = list(cluster.failures(job_id, job.tasks))
+                if failed_tasks:
                     cluster.ask("POST", f"/v1/jobs/{job.id}/cancel")
-                    failed.append((job, job_id, faults))
-                if faults or answer["status"] in ("done", "cancelled"):
+                    failed.append((job, job_id, failed_tasks))
+                if failed_tasks or answer["status"] in ("done", "cancelled"):
                     del open_jobs[job_id]
-                    if not terminal and not faults:
+                    if not terminal and not failed_tasks:
                         print(f"{job.id}: {answer['status']}, {sum(done.values())} of {total} tasks done")
-                        show(cluster, job, job_id)
+                        print_output(cluster, job, job_id)
             bar.update(sum(done.values()) - bar.n)
             time.sleep(0.2)
     if terminal:
         for job, _command in jobs:
-            show(cluster, job, cluster.job_id(job))
-    for job, job_id, faults in failed:
-        for index, codes in faults:
+            print_output(cluster, job, cluster.job_id(job))
+    for job, job_id, failed_tasks in failed:
+        for index, codes in failed_tasks:
             print(f"{job.id}/{index} failed {len(codes)} times, exit codes {' '.join(codes)}")
             print(cluster.output(job_id, index), end="")
     for job in open_jobs.values():
         print(f"{job.id}: not done after {timeout_s:g} s")
     finished = sum(done.values())
-    print(f"{finished} of {total} tasks done in {time.monotonic() - begun:.1f} s")
+    print(f"{finished} of {total} tasks done in {time.monotonic() - started_at:.1f} s")
     return 1 if failed or open_jobs else 0
 
 
-def show(cluster, job, job_id):
+def print_output(cluster, job, job_id):
+    """Prints the output of a job's tasks."""
     for index in range(job.tasks):
         for line in cluster.output(job_id, index).splitlines():
             print(f"  {job.id}/{index}: {line}")
 
 
-def keep(cluster):
-    """Serves until interrupted."""
+def serve(cluster):
+    """Prints the cluster's addresses and restarts ended processes until interrupted."""
     key = cluster.tenant()
     print(f"tenants' API    http://{cluster.plan['tenants']}  (key {key})")
     print(
@@ -348,23 +362,23 @@
     with contextlib.suppress(KeyboardInterrupt):
         while True:
             for name in cluster.mend():
-                print(f"{name} ended and was started again", flush=True)
+                print(f"{name} ended and was restarted", flush=True)
             time.sleep(0.5)
     return 0
 
 
 def main(args, program):
-    """The verb `local`."""
+    """Runs the command `roadhead local`."""
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     directory = args.keep or args.directory
     if args.run:
-        read_jobs(args.run)  # a bad file is told before anything starts
+        read_jobs(args.run)  # reports an invalid file before any process starts
     cluster = Cluster(directory, program)
     try:
         cluster.start()
         if args.run:
             return run(cluster, args.run, args.crash, args.timeout)
-        return keep(cluster)
+        return serve(cluster)
     finally:
         cluster.stop()
         if not args.keep and os.environ.get("ROADHEAD_KEEP") is None:
--- a/roadhead/local/histories.py
+++ b/roadhead/local/histories.py
@@ -1,8 +1,9 @@
-"""Histories of answers: whether, per job, every answer is as new as those completed before its question.
+"""Checks histories of responses to users: each job must behave like a linearizable register.
 
-The order is that of real time, as for linearizable registers: of two questions that overlap, either may
-have the older answer. Only what a user may rely on counts: that a job is accepted, done or cancelled.
-Whether it is called pending or running may change back and forth, as tasks stop and start.
+A response must be at least as new as every response that completed before its request was sent. Of two
+requests that overlap in time, either may have the older response. Only the states that a user may rely on
+are checked: accepted, done and cancelled. A job may change between pending and running in both directions,
+as tasks stop and start.
 """
 
 import enum
@@ -11,7 +12,7 @@
 
 
 class Question(enum.Enum):
-    """What a user asks."""
+    """The kind of a user's request."""
 
     SUBMIT = "submit"
     POLL = "poll"
@@ -19,12 +20,12 @@
 
 
 class Rule(enum.Enum):
-    """What an answer can break."""
+    """The rules that a response can violate."""
 
-    FORGOTTEN = "forgotten"
-    INVENTED = "invented"
-    WENT_BACK = "went_back"
-    BAD_ANSWER = "bad_answer"  # against the form of an answer that the protocol asks for
+    FORGOTTEN = "forgotten"  # an accepted job is refused as unknown or invalid
+    INVENTED = "invented"  # a job exists that nobody submitted
+    WENT_BACK = "went_back"  # a final state changes
+    BAD_ANSWER = "bad_answer"  # not a response that the protocol allows to this request
 
 
 ACCEPTED = (200, 201)
@@ -35,7 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One answer to one question about a job; `status` 0 means that none came, `state` is the job's."""
+    """One response to a request about a job.
+
+    `status` is the HTTP status, 0 if no response came; `state` is the job's state. Times are in seconds.
+    """
 
     job_id: str
     question: Question
@@ -47,12 +51,13 @@
 
     @property
     def final(self):
+        """Whether the job has ended."""
         return self.state in FINAL
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """An answer that breaks a rule, and the earlier one that it contradicts, if it does one."""
+    """A response that violates a rule, and the earlier response that it contradicts, if any."""
 
     rule: Rule
     answer: Answer
@@ -64,7 +69,7 @@
 
 
 def describe(answer):
-    """An answer as a fault names it."""
+    """Returns a response as a line of text."""
     said = f"{answer.status} {answer.state or ''}".strip()
     return (
         f"{answer.job_id}: {answer.question.value} at {answer.controller} "
@@ -74,9 +79,9 @@
 
 @dataclass(slots=True)
 class JobHistory:
-    """What users were told of a job, by the first answer that said so."""
+    """The first responses that reported a job as accepted and as ended."""
 
-    submitted_at: float | None = None  # when it was first asked for
+    submitted_at: float | None = None  # when its submission was first sent
     accepted: Answer | None = None
     final: Answer | None = None
 
@@ -87,10 +92,10 @@
 
 @dataclass
 class History:
-    """Takes the answers in the order in which they come, and finds those that are older than they may be.
+    """Takes responses in the order of their arrival and finds those that are too old.
 
-    `counts`: answers by (question, status). `overlaps`: older answers to questions that were on their way
-    when the newer answer came, which is allowed.
+    `counts` are the responses by (question, status). `overlaps` counts older responses to requests that were
+    under way when the newer response arrived, which is allowed.
     """
 
     jobs: dict = field(default_factory=dict)
@@ -99,53 +104,53 @@
     latest: float = 0.0
 
     def submitted(self, job_id, now):
-        """A user begins to ask for a job."""
-        known = self.jobs.setdefault(job_id, JobHistory())
-        if known.submitted_at is None:
-            known.submitted_at = now
+        """Notes that a user submits a job at time `now`."""
+        job = self.jobs.setdefault(job_id, JobHistory())
+        if job.submitted_at is None:
+            job.submitted_at = now
 
     def add(self, answer):
-        """The faults of an answer that comes now."""
+        """Adds a response and returns its faults. Raises ValueError if it is out of order."""
         if answer.answered_at < self.latest or answer.asked_at > answer.answered_at:
-            raise ValueError(f"out of order: {describe(answer)}")
+            raise ValueError(f"response out of order, the latest is of {self.latest:.3f}: {describe(answer)}")
         self.latest = answer.answered_at
         self.counts[answer.question, answer.status] += 1
-        known = self.jobs.setdefault(answer.job_id, JobHistory())
+        job = self.jobs.setdefault(answer.job_id, JobHistory())
         if answer.status in REFUSED:
-            return self._check_refusal(known, answer)
+            return self._check_refusal(job, answer)
         if answer.status not in ACCEPTED:
             return []
-        faults = [*self._check_form(known, answer), *self._check_order(known, answer)]
-        if known.accepted is None:
-            known.accepted = answer
-        if known.final is None and answer.final:
-            known.final = answer
+        faults = [*self._check_form(job, answer), *self._check_order(job, answer)]
+        if job.accepted is None:
+            job.accepted = answer
+        if job.final is None and answer.final:
+            job.final = answer
         return faults
 
     def unavailable(self, question):
-        """How many such questions were answered with 503."""
+        """Returns how many requests of this kind were answered with 503."""
         return self.counts[question, UNAVAILABLE]
 
-    def _check_refusal(self, known, answer):
-        if _completed_before(known.accepted, answer):
-            return [Fault(Rule.FORGOTTEN, answer, known.accepted)]
-        self.overlaps += known.accepted is not None
+    def _check_refusal(self, job, answer):
+        if _completed_before(job.accepted, answer):
+            return [Fault(Rule.FORGOTTEN, answer, job.accepted)]
+        self.overlaps += job.accepted is not None
         return []
 
-    def _check_form(self, known, answer):
-        if known.submitted_at is None or known.submitted_at > answer.answered_at:
+    def _check_form(self, job, answer):
+        if job.submitted_at is None or job.submitted_at > answer.answered_at:
             yield Fault(Rule.INVENTED, answer)
         if answer.question is Question.CANCEL and not answer.final:
             yield Fault(Rule.BAD_ANSWER, answer)
         if answer.status == 201 and (
-            answer.question is not Question.SUBMIT or _completed_before(known.accepted, answer)
+            answer.question is not Question.SUBMIT or _completed_before(job.accepted, answer)
         ):
-            yield Fault(Rule.BAD_ANSWER, answer, known.accepted)
+            yield Fault(Rule.BAD_ANSWER, answer, job.accepted)
 
-    def _check_order(self, known, answer):
-        if known.final is None or answer.state == known.final.state:
+    def _check_order(self, job, answer):
+        if job.final is None or answer.state == job.final.state:
             return
-        if answer.final or _completed_before(known.final, answer):
-            yield Fault(Rule.WENT_BACK, answer, known.final)
+        if answer.final or _completed_before(job.final, answer):
+            yield Fault(Rule.WENT_BACK, answer, job.final)
         else:
             self.overlaps += 1
--- a/roadhead/local/poll_storm.py
+++ b/roadhead/local/poll_storm.py
@@ -1,10 +1,13 @@
-"""Polls at a steady rate, beside those of the jobs' own users."""
+"""Generates a steady rate of polls, in addition to those of the jobs' own users."""
 
 from roadhead.local.histories import FINAL
 
 
 class PollStorm:
-    """Polls at a steady rate: of known jobs, and every fifth of one that nobody submitted."""
+    """Polls accepted jobs at a steady rate; every fifth poll is for a job that nobody submitted.
+
+    `polls` counts the polls sent, `answered` those that got 200 or 404.
+    """
 
     def __init__(self, world, rate, seconds):
         self.world = world
--- a/roadhead/local/processes.py
+++ b/roadhead/local/processes.py
@@ -1,4 +1,4 @@
-"""The emulators as processes on loopback: state service, cloud with uploads, workers that run commands.
+"""Runs the emulators as processes on loopback: state service, cloud with uploads, workers that run commands.
 
 python3 run.py local-part state|cloud|worker DIR [ARGUMENTS]
 """
@@ -25,14 +25,16 @@
 from roadhead.runtime.net import READ, Net
 from roadhead.wire.http import Client, NoAnswer
 
+PR_SET_PDEATHSIG = 1  # from <linux/prctl.h>
+
 
 def die_with_parent():
-    """In a child before it runs: the kernel ends it with its parent, however that ends."""
-    ctypes.CDLL(None).prctl(1, signal.SIGKILL)
+    """Makes the kernel kill this process when its parent ends; called in a child before it executes."""
+    ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class Clock:
-    """Stands where the simulation does in virtual time."""
+    """Provides the time and random numbers of a simulation, on the real clock."""
 
     def __init__(self, loop):
         self._loop = loop
@@ -44,7 +46,7 @@
 
 
 class Ground:
-    """What the emulators ask of their world, on the real loop and real sockets."""
+    """Provides to the emulators what a `World` does, on the real event loop and real sockets."""
 
     def __init__(self, directory):
         self.directory = Path(directory)
@@ -60,30 +62,32 @@
         self.completed, self.gangs = set(), {}
 
     def host_loop(self, _host):
+        """Returns the process's event loop."""
         return self.loop
 
     def host(self, _host, loop):
+        """Returns a real network interface."""
         return Net(loop)
 
     def kill(self, _host):
-        pass
+        """Does nothing: the cloud emulator kills the process."""
 
     def on_machine(self, task, worker):
-        pass
+        """Does nothing: only the simulation checks what runs."""
 
     off_machine = on_machine
 
     def task_done(self, task):
-        pass
+        """Does nothing: only the simulation checks what has completed."""
 
     state_changed = task_done
 
 
 class RealCloud(CloudApi):
-    """Its machines are worker processes; it also takes what users upload of their jobs."""
+    """A cloud whose machines are worker processes; it also stores the uploads of the users' jobs."""
 
     def __init__(self, ground):
-        kinds = [
+        machine_types = [
             {
                 "name": "box",
                 "vcpus": 4,
@@ -97,8 +101,8 @@
                 "paddocks": ["north", "south"],
             }
         ]
-        super().__init__(ground, kinds, capacity=3, address=ground.plan["cloud"])
-        self.names = int(time.time()) * 1000  # names are never given twice, whatever ended
+        super().__init__(ground, machine_types, capacity=3, address=ground.plan["cloud"])
+        self.names = int(time.time()) * 1000  # names stay unique across restarts
         self._uploads = ground.directory / "uploads"
         self._uploads.mkdir(exist_ok=True)
 
@@ -118,12 +122,12 @@
 
 
 class Machine:
-    """A rented machine as the cloud sees it: a process."""
+    """A rented machine, run as a worker process."""
 
     def __init__(self, ground, name, kind, zone, spot):
         self.name, self.kind, self.zone, self.spot = name, kind, zone, spot
         self.born = ground.sim.time
-        self.tasks = {}  # known to its worker alone
+        self.tasks = {}  # always empty here: only the worker process knows its tasks
         self.address = free_address()
         self.process = subprocess.Popen(
             [
@@ -141,22 +145,24 @@
         )
 
     def listed(self):
+        """Returns the machine's status in the cloud's list."""
         return "running" if self.process.poll() is None else "failed"
 
     def end(self):
+        """Kills the process."""
         self.process.kill()
         self.process.wait()
 
 
 class RealWorker(Worker):
-    """Runs each task's command as a process group of its own, its output into a file."""
+    """Runs each task's command as a process group of its own, with its output in a file."""
 
     def __init__(self, ground, name, address, zone, spot):
         kind = {"name": "box", "vcpus": 4, "startupS": 0.05}
-        self._net_of_cloud = Client(ground.loop, Net(ground.loop), ground.plan["cloud"])
+        self._cloud_client = Client(ground.loop, Net(ground.loop), ground.plan["cloud"])
         self._out = ground.directory / "out"
         self._out.mkdir(exist_ok=True)
-        self._jobs = {}  # job -> what its user uploaded
+        self._jobs = {}  # job id -> the upload of its user
         ground.job_of = lambda task: self._jobs.get(task.rpartition("/")[0])
         super().__init__(ground, name, 0, kind, zone, spot, address)
 
@@ -164,14 +170,14 @@
         if task.rpartition("/")[0] in self._jobs:
             super()._launch(task, attempt)
         else:
-            self.loop.spawn(self._fetch(task, attempt), "fetch")
+            self.loop.spawn(self._fetch_upload(task, attempt), "fetch")
 
-    async def _fetch(self, task, attempt):
+    async def _fetch_upload(self, task, attempt):
         job, session = task.rpartition("/")[0], self.session
         try:
-            status, data, _ = await self._net_of_cloud.request("GET", f"/uploads/{job}")
+            status, data, _ = await self._cloud_client.request("GET", f"/uploads/{job}")
         except NoAnswer:
-            return  # the launch is repeated until a report shows it
+            return  # the controller repeats the launch until a report shows the task
         if status == 200:
             self._jobs[job] = cbor2.loads(data)
         if session == self.session and (task, attempt) not in self.tasks:
@@ -180,20 +186,20 @@
     def _start(self, item):
         item.status = "running"
         job, _, index = item.task.rpartition("/")
-        described = self._jobs[job]
+        upload = self._jobs[job]
         with open(self._out / f"{job}.{index}.log", "wb") as file:
             item.process = subprocess.Popen(
-                described["command"],
+                upload["command"],
                 stdin=subprocess.DEVNULL,
                 stdout=file,
                 stderr=subprocess.STDOUT,
                 start_new_session=True,
                 preexec_fn=die_with_parent,
-                env={**os.environ, "ROADHEAD_JOB": described["name"], "ROADHEAD_TASK": index},
+                env={**os.environ, "ROADHEAD_JOB": upload["name"], "ROADHEAD_TASK": index},
             )
         handle = os.pidfd_open(item.process.pid)
 
-        def ended(_mask):
+        def on_exit(_mask):
             self.loop.selector.unregister(handle)
             os.close(handle)
             code = item.process.wait()
@@ -205,7 +211,7 @@
                     print(code, file=file)
                 self._exit(item, "error" if code else "done")
 
-        self.loop.selector.register(handle, READ, ended)
+        self.loop.selector.register(handle, READ, on_exit)
         self.changed()
 
     def execute(self, orders):
@@ -229,13 +235,14 @@
 
 
 def free_address():
-    """A loopback address that nobody listens on."""
+    """Returns a loopback address with a port that is not in use."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
 def main(part, directory, *arguments):
+    """Runs one emulator until the process is killed."""
     ground = Ground(directory)
     if part == "state":
         StateService(ground, ground.plan["state"], Keeper(str(ground.directory / "state")))
--- a/roadhead/local/rules.py
+++ b/roadhead/local/rules.py
@@ -1,33 +1,41 @@
-"""Checks the Rules of the protocol at every step, against what really runs where."""
+"""Checks the protocol's rules continuously against what the emulated workers really run."""
 
 from roadhead.local.scenario import FREE
 
-UNANSWERED_S = 75.0  # once all troubles are over, without an answer for that long a job counts as forgotten
+UNANSWERED_S = 75.0  # after all faults have ended, a job without a response for so long counts as forgotten
 
 
 class RuleChecker:
-    """`broken`: the rules broken so far; the rest is what happened, as no controller knows it."""
+    """Collects violations of the rules in `broken`; the other attributes record what really happened."""
 
     def __init__(self, world):
         self._world = world
         self.broken = []
         self.completed = set()
         self.running = {}  # task -> worker
-        self.started = {}  # task -> when it first did
-        self.cancelled_at = {}  # job -> when its user was told so
-        self.recorded = set()  # tasks that some record called done once, where a scenario asks for it
-        self.reruns = 0  # starts of those
-        self.cancelled_starts = 0  # starts after a confirmed cancellation, also within `cancel_s`
-        self.longest_gone = 0.0  # after its user was told of a cancellation, a task was still there
+        self.started = {}  # task -> time of its first start
+        self.cancelled_at = {}  # job id -> when its user first saw it cancelled
+        self.recorded = (
+            set()
+        )  # tasks that a stored record has called done; kept if a scenario expects `reruns`
+        self.reruns = 0  # starts of recorded tasks
+        self.cancelled_starts = (
+            0  # starts after a confirmed cancellation, including those that `cancel_s` allows
+        )
+        self.longest_gone = (
+            0.0  # longest time, in seconds, that a task ran on after its user saw its job cancelled
+        )
 
     def break_rule(self, rule, text):
+        """Records a violation of a rule."""
         self.broken.append(f"{self._world.sim.time:.1f} {rule}: {text}")
 
     def all_completed(self, job):
+        """Returns whether all tasks of a job have completed."""
         return all(f"{job['id']}/{index}" in self.completed for index in range(job["legs"]))
 
     def on_machine(self, task, worker):
-        """A task starts there: checks whether it may, and notes it."""
+        """Records that a task starts on a worker, and checks whether it may."""
         job = self._world.job_of(task)
         self._check_order(task, job)
         other = self.running.get(task)
@@ -37,7 +45,7 @@
         told = self.cancelled_at.get(job["id"])
         self.cancelled_starts += told is not None
         if told is not None and self._world.sim.time > told + self._cancel_s:
-            self.break_rule("ran_cancelled", f"{task} starts")
+            self.break_rule("ran_cancelled", f"{task} starts, cancelled at {told:.1f}")
         self._check_place(task, job, worker)
         self.reruns += task in self.recorded
         self.running[task] = worker
@@ -45,44 +53,51 @@
         self._check_quota(task)
 
     def _check_order(self, task, job):
-        for above in job.get("upstream") or ():
-            if not self.all_completed(self._world.jobs[above]):
-                self.break_rule("too_early", f"{task} starts before {above} is done")
+        for upstream_id in job.get("upstream") or ():
+            if not self.all_completed(self._world.jobs[upstream_id]):
+                self.break_rule("too_early", f"{task} starts before {upstream_id} is done")
 
     def _check_place(self, task, job, worker):
         if (worker.spot and not job["loaners"]) or job["paddock"] not in (None, worker.zone):
-            self.break_rule("wrong_place", f"{task} on {worker.name}")
+            self.break_rule(
+                "wrong_place", f"{task} on {worker.name} (zone {worker.zone}, spot {worker.spot})"
+            )
         zones = [w.zone for t, w in self.running.items() if self._world.job_of(t) is job and t != task]
         if job["together"] and any(zone != worker.zone for zone in zones):
-            self.break_rule("wrong_place", f"{task} away from its job")
+            self.break_rule(
+                "wrong_place", f"{task} in {worker.zone}, not in the zone of its job's other tasks"
+            )
         if job["scatter"] and zones.count(worker.zone) + 1 > (job["legs"] + 1) // 2:
-            self.break_rule("wrong_place", f"{task} too close to its job")
+            self.break_rule(
+                "wrong_place", f"{task} in {worker.zone}, which has half of its job's tasks already"
+            )
 
     def _check_quota(self, task):
         tenancy, most = self._world.tenancy, self._world.options["cpus_max"]
         if tenancy is not None and (over := tenancy.check_limits(task, self.running)):
-            self.break_rule("quota", f"{over}: {task}")
+            self.break_rule("quota", f"{task} exceeds the limit of {over}")
         team = self._world.job_of(task)["crew"]
-        ours = [job for t in self.running if (job := self._world.job_of(t))["crew"] == team]
-        if most and team != FREE and sum(job["vcpus"] for job in ours) > most + 1e-6:
-            self.break_rule("quota", task)
+        team_jobs = [job for t in self.running if (job := self._world.job_of(t))["crew"] == team]
+        if most and team != FREE and sum(job["vcpus"] for job in team_jobs) > most + 1e-6:
+            self.break_rule("quota", f"{task} exceeds cpus_max of team {team}")
 
     def off_machine(self, task, worker):
+        """Records that a task no longer runs on a worker."""
         if self.running.get(task) is worker:
             del self.running[task]
 
     def above(self, job_id):
-        """The users of the jobs that it needs, directly or through others."""
-        todo, seen = [job_id], {}
-        while todo:
-            for name in self._world.jobs[todo.pop()].get("upstream") or ():
+        """Returns the users of all jobs upstream of a job, direct and indirect."""
+        to_visit, seen = [job_id], {}
+        while to_visit:
+            for name in self._world.jobs[to_visit.pop()].get("upstream") or ():
                 if name not in seen and name in self._world.jobs:
                     seen[name] = self._world.users[name]
-                    todo.append(name)
+                    to_visit.append(name)
         return list(seen.values())
 
     def cancelled_above(self, job_id):
-        """When users of jobs that it needs were told that those are cancelled, as they had asked."""
+        """Returns the times at which users of upstream jobs first saw the cancellation they had requested."""
         return [
             user.cancelled_seen_at
             for user in self.above(job_id)
@@ -90,34 +105,34 @@
         ]
 
     async def watch(self):
-        """Looks twice a second at what no single event shows."""
+        """Checks twice a second for violations that no single event reveals."""
         while True:
             await self._world.sim.sleep(0.5)
             for task in self.running:
-                self._check_gone(task)
-            self._check_known()
+                self._check_cancelled(task)
+            self._check_answered()
             if any(words[0] == "reruns" for words in self._world.expectations):
-                self._note_recorded()
+                self._record_done_tasks()
 
-    def _check_gone(self, task):
+    def _check_cancelled(self, task):
         now = self._world.sim.time
         told = self.cancelled_at.get(task.rpartition("/")[0])
         if told is not None:
             self.longest_gone = max(self.longest_gone, now - told)
             if now > told + self._cancel_s:
-                self.break_rule("ran_cancelled", task)
+                self.break_rule("ran_cancelled", f"{task} still runs, cancelled at {told:.1f}")
         tenancy = self._world.tenancy
         if tenancy is not None:
             tenant = self._world.job_of(task).get("tenant")
             told = tenancy.removed_at.get(tenancy.numbers.get(tenant))
             if told is not None and now > told + 2 * self._cancel_s:
-                self.break_rule("ran_cancelled", f"{task} of a tenant that is removed")
+                self.break_rule("ran_cancelled", f"{task} still runs, its tenant was removed at {told:.1f}")
 
     @property
     def _cancel_s(self):
         return self._world.settings["workers"]["cancel_s"]
 
-    def _note_recorded(self):
+    def _record_done_tasks(self):
         for key, (record, *_rest) in self._world.state.data.items():
             if key.startswith("j/") and record["s"] == "open":
                 edges = record["done"]
@@ -127,7 +142,7 @@
                     for index in range(edges[at], edges[at + 1])
                 )
 
-    def _check_known(self):
+    def _check_answered(self):
         settled = self._world.options["settled"]
         if not settled or self._world.sim.time < settled + UNANSWERED_S:
             return
@@ -137,4 +152,4 @@
                 and user.told not in ("done", "cancelled")
                 and (self._world.sim.time > max(settled, user.answered_at) + UNANSWERED_S)
             ):
-                self.break_rule("forgotten", f"{user.id}: no question answered since {user.answered_at:.1f}")
+                self.break_rule("forgotten", f"{user.id}: no request answered since {user.answered_at:.1f}")
--- a/roadhead/local/server.py
+++ b/roadhead/local/server.py
@@ -1,4 +1,4 @@
-"""The base of the emulated services: an HTTP server on a virtual host that can fail on request."""
+"""The base of all emulators: an HTTP server that loses or delays requests on demand."""
 
 import cbor2
 
@@ -8,7 +8,10 @@
 
 
 class Server:
-    """An HTTP server on a host of its own. `lose` answers are executed but never sent."""
+    """An HTTP server on a host of its own; subclasses define `handle`.
+
+    The next `lose` POST requests are executed, but their responses are never sent.
+    """
 
     def __init__(self, world, host, address):
         self.world = world
@@ -17,8 +20,8 @@
         self.net = world.network.host(host, self.loop)
         self.host = host
         self.lose = 0
-        self.late = []  # (matches(method, path, body), delay): executed that much later
-        self.late_share = (0.0, 0.0)  # of transactions that come late, and until when
+        self.late = []  # (matches(method, path, body), delay_s): the next match is executed so much later
+        self.late_share = (0.0, 0.0)  # (share of transactions executed late, until which time)
         self.net.listen(address, lambda stream: self.loop.spawn(self._serve(stream), host))
 
     async def _serve(self, stream):
@@ -26,8 +29,8 @@
             path, _, query = request.target.partition("?")
             args = dict(part.split("=", 1) for part in query.split("&") if part)
             body = cbor2.loads(request.body) if request.body else None
-            if (delay := self._delay_of(request.method, path, body)) is not None:
-                self.loop.spawn(self._later(delay, request.method, path, args, body, stream))
+            if (delay_s := self._delay_of(request.method, path, body)) is not None:
+                self.loop.spawn(self._execute_late(delay_s, request.method, path, args, body, stream))
                 await Future()
             host = getattr(stream, "peer_host", "")
             windows = self.world.fault_windows
@@ -38,7 +41,7 @@
             lost = path == "/multi" and body["writes"] and windows.lost_writes.strikes(self.sim)
             status, answer = await self.handle(request.method, path, args, body, host)
             if lost:
-                await Future()  # silent until the sender gives up
+                await Future()  # sends no response, so the client times out
             if self.lose > 0 and request.method == "POST":
                 self.lose -= 1
                 stream.close()
@@ -47,19 +50,19 @@
         await http.serve(self.loop, stream, handle, 60.0)
 
     def _delay_of(self, method, path, body):
-        """By how many seconds a request is executed late; None if it is not."""
-        for matches, delay in list(self.late):
+        """Returns by how many seconds to delay a request, or None."""
+        for matches, delay_s in list(self.late):
             if matches(method, path, body):
-                self.late.remove((matches, delay))
-                return delay
+                self.late.remove((matches, delay_s))
+                return delay_s
         share, until = self.late_share
         if path == "/multi" and self.sim.time < until and self.sim.random.random() < share:
             return self.sim.random.uniform(2.0, 12.0)
         return None
 
-    async def _later(self, delay, method, path, args, body, stream):
-        """The sender gives up on it, and then it takes effect all the same."""
-        await self.loop.sleep(min(delay, 5.0))
+    async def _execute_late(self, delay_s, method, path, args, body, stream):
+        """Executes a request after its client has given up on it."""
+        await self.loop.sleep(min(delay_s, 5.0))
         stream.close()
-        await self.loop.sleep(max(0.0, delay - 5.0))
+        await self.loop.sleep(max(0.0, delay_s - 5.0))
         await self.handle(method, path, args, body, stream.peer_host)
--- a/roadhead/local/tenancy.py
+++ b/roadhead/local/tenancy.py
@@ -1,4 +1,4 @@
-"""Hosting in a virtual deployment: gateways, an administrator, and users of tenants."""
+"""Simulates a hosted deployment: gateways, an administrator, and the tenants' users."""
 
 import json
 import random
@@ -15,8 +15,8 @@
 from roadhead.wire.http import Client, NoAnswer
 
 MASTER = b"a master secret of a virtual world"
-SETTLED_S = 15.0  # in which a start sent before limits changed has come
-ASKED = {  # fields of a scenario's job as a tenant names them
+LIMITS_SETTLE_S = 15.0  # time within which every start sent before a change of limits has arrived
+TENANT_FIELDS = {  # fields of a scenario's job -> their names in the tenants' API
     "jobclass": "class",
     "crew": "team",
     "shape": "kind",
@@ -40,7 +40,11 @@
 
 
 class Tenancy:
-    """`numbers`, `keys`: of the tenants by name; `removed_at`: when their removal was confirmed."""
+    """The gateways of a world, and its administrator.
+
+    `numbers` and `keys` are the tenants' numbers and API keys by name, `limits` their limits by number;
+    `removed_at` and `changed_at` are the times, by number, at which a removal or new limits were confirmed.
+    """
 
     def __init__(self, world, gateways):
         self.world = world
@@ -66,13 +70,14 @@
         ]
         self.root = Secrets(MASTER).root_key()
         self.numbers, self.keys, self.limits, self.removed_at = {}, {}, {}, {}
-        self._turns = {}  # tenant -> the latest line about it
-        self.changed_at = {}  # when a tenant's limits were last changed
+        self._last_actions = {}  # tenant -> the routine of the last action on it
+        self.changed_at = {}
         self.gateways = {}
         for number in range(gateways):
             self.start(number)
 
     def start(self, number):
+        """Starts a gateway, unless it runs."""
         if number in self.gateways:
             return
         host = f"10.3.0.{number + 1}"
@@ -87,18 +92,24 @@
         self.gateways[number].start()
 
     def crash(self, number, back_after):
+        """Kills a gateway and starts it again later."""
         self.world.network.kill(f"10.3.0.{number + 1}")
         self.gateways.pop(number, None)
         self.world.sim.call_later(back_after, self.start, number)
 
     def time_of_day(self):
+        """Returns the simulated Unix time."""
         return 1e9 + self.world.sim.time
 
     def desk(self, loop):
+        """Returns a controller's tenant admission."""
         return Desk(loop, self._hosted[0], self.time_of_day)
 
     async def ask(self, kind, method, path, body, key, timeout=5.0, headers=()):
-        """(status, answer) of a gateway that is up."""
+        """Sends a request to a random live gateway; returns (status, body), or (0, None) without a response.
+
+        `kind` is the API, `tenants` or `administration`.
+        """
         world = self.world
         if not self.gateways:
             return 0, None
@@ -119,7 +130,7 @@
         return status, (json.loads(data) if data else None)
 
     async def administrate(self, method, path, body=None, headers=()):
-        """Repeats a request under one request key until it has a final answer."""
+        """Repeats an administration request, with one idempotency key, until its response is final."""
         key = f"{self.world.sim.random.random():.12f}"
         while True:
             status, answer = await self.ask(
@@ -135,20 +146,20 @@
             await self.world.user_loop.sleep(0.5)
 
     def in_turn(self, verb, name, *words):
-        """A scenario's line, once those before it about the same tenant are done."""
-        before = self._turns.get(name)
+        """Executes a scenario's action after all earlier ones on the same tenant."""
+        before = self._last_actions.get(name)
 
-        async def act():
+        async def run_action():
             if before is not None:
                 await before.done
             await self.do(verb, name, *words)
 
-        self._turns[name] = self.world.user_loop.spawn(act(), verb)
+        self._last_actions[name] = self.world.user_loop.spawn(run_action(), verb)
 
     async def do(self, verb, name, *words):
-        """A scenario's line: tenant, limits, suspend, resume, remove."""
+        """Executes a scenario's action; verbs are `tenant`, `limits`, `suspend`, `resume` and `remove`."""
         if verb == "tenant":
-            body = self._described(words)
+            body = self._tenant_body(words)
             status, answer = await self.administrate("POST", "tenants", {"name": name, **body})
             assert status == 201, (status, answer)
             self.numbers[name] = answer["number"]
@@ -160,8 +171,8 @@
             self.keys[name] = answer["key"]
             return
         if verb == "limits":
-            body, status = self._described(words), 412
-            while status == 412:  # somebody else changed the tenant meanwhile
+            body, status = self._tenant_body(words), 412
+            while status == 412:  # the tenant changed since it was read
                 _status, answer = await self.administrate("GET", f"tenants/{name}")
                 status, answer = await self.administrate(
                     "PATCH", f"tenants/{name}", body, [("If-Match", f'"{answer["version"]}"')]
@@ -179,8 +190,11 @@
         assert status in (200, 202), (status, answer)
 
     @staticmethod
-    def _described(words):
-        """`cpus=8 weight=2 submissions=5 team=letters:cpus=4:cpus_max=6`, or team `crew` alone."""
+    def _tenant_body(words):
+        """Returns the request body for words like `cpus=8 weight=2 submissions=5 team=letters:cpus=4:cpus_max=6`.
+
+        Without a team, the body has the team `crew`.
+        """
         teams, limits, body = [], {}, {}
         for word in words:
             name, value = word.split("=", 1)
@@ -196,13 +210,17 @@
         return {"teams": teams or [{"name": "crew"}], "limits": limits, **body}
 
     def check_limits(self, started, running):
-        """The tenant or team that uses more than its limit now that this task started, or None.
+        """Returns the tenant or (tenant, team) that exceeds its limit now that a task has started, or None.
 
-        What ran before a limit shrank may end; a start may have been on its way for a while.
+        Nothing is checked until `LIMITS_SETTLE_S` after a change of limits, as starts may still be under way.
+        Tasks that ran before a limit was lowered may run to their end.
         """
         job = self.world.job_of(started)
         number = self.numbers.get(job.get("tenant"))
-        if number is None or self.world.sim.time < self.changed_at.get(number, -SETTLED_S) + SETTLED_S:
+        if (
+            number is None
+            or self.world.sim.time < self.changed_at.get(number, -LIMITS_SETTLE_S) + LIMITS_SETTLE_S
+        ):
             return None
         body = self.limits[number]
         tenant = team = 0.0
@@ -217,7 +235,7 @@
         return (job["tenant"], job["crew"]) if most and team > most + 1e-6 else None
 
     def left_of(self, number):
-        """Keys of a tenant's jobs that are still stored."""
+        """Returns the stored keys that belong to a tenant's jobs."""
         return [
             key
             for key in self.world.state.data
@@ -226,7 +244,7 @@
 
 
 class TenantUser(User):
-    """Submits and polls through the gateways, by the tenant's own id."""
+    """A user of a tenant: submits and polls through the gateways, by the tenant's own job id."""
 
     def __init__(self, world, job, own):
         super().__init__(world, job)
@@ -239,13 +257,18 @@
     async def _send(self, method, path, body, timeout, front):
         path = path.replace(self.id, self.own)
         if body is not None:
-            body = {"id": self.own, **{ASKED[name]: value for name, value in body.items() if name in ASKED}}
+            body = {
+                "id": self.own,
+                **{TENANT_FIELDS[name]: value for name, value in body.items() if name in TENANT_FIELDS},
+            }
             body = {name: value for name, value in body.items() if value is not None}
         tenancy = self.world.tenancy
         status, answer = await tenancy.ask("tenants", method, path, body, tenancy.keys[self.tenant], timeout)
         if status in (200, 201):
             if answer["id"] != self.own:
-                self.world.break_rule("invented", f"{self.own} is answered as {answer['id']}")
+                self.world.break_rule(
+                    "invented", f"the response for job {self.own} has the id {answer['id']}"
+                )
             self.first_accepted_at = self.first_accepted_at or self.world.sim.time
         elif status in (401, 403, 410):
             self.refused_with = status
--- a/roadhead/local/waiting.py
+++ b/roadhead/local/waiting.py
@@ -1,24 +1,25 @@
-"""Whether a job waits for long, once all troubles are over, while a machine that fits it has room."""
+"""Checks that no job waits for long beside a machine with room for it, once all faults have ended."""
 
 LEFT_WAITING_S = 90.0
-LOOK_EVERY_S = 5.0
+CHECK_EVERY_S = 5.0
 
 
 class WaitingCheck:
-    """Looks now and then at what really runs where, and breaks the rule `left_waiting`."""
+    """Compares waiting jobs with the workers' free capacity, and records violations of `left_waiting`."""
 
     def __init__(self, world):
         self._world = world
-        self._since = {}  # job -> since when it has been seen to wait beside room for it
+        self._since = {}  # job id -> first time of the current wait beside a machine with room for it
 
     async def watch(self):
+        """Checks repeatedly from the time `settled` on; returns at once if a scenario sets none."""
         settled = self._world.options["settled"]
         while settled:
-            await self._world.sim.sleep(LOOK_EVERY_S)
+            await self._world.sim.sleep(CHECK_EVERY_S)
             if self._world.sim.time > settled:
-                self._look()
+                self._check()
 
-    def _look(self):
+    def _check(self):
         now = self._world.sim.time
         waiting = self._waiting_beside_room()
         for job_id in [job_id for job_id in self._since if job_id not in waiting]:
@@ -26,12 +27,14 @@
         for job_id in waiting:
             since = self._since.setdefault(job_id, now)
             if now - since > LEFT_WAITING_S:
-                self._world.break_rule("left_waiting", f"{job_id} since {since:.1f}, with room for it")
+                self._world.break_rule(
+                    "left_waiting", f"{job_id} waits since {since:.1f}, though a machine has room for it"
+                )
                 self._since[job_id] = now
 
     def _waiting_beside_room(self):
-        """The jobs with a task that is nowhere, though one could run."""
-        machines = [worker for worker in self._world.cloud.rented.values() if self._serves(worker)]
+        """Returns the ids of the jobs of which a task is on no machine, though a machine could run it."""
+        machines = [worker for worker in self._world.cloud.rented.values() if self._can_serve(worker)]
         present = {
             item.task: self._world.job_of(item.task)["vcpus"]
             for worker in self._world.cloud.rented.values()
@@ -49,20 +52,23 @@
         }
 
     @staticmethod
-    def _serves(worker):
+    def _can_serve(worker):
         return worker.up and not (worker.dead or worker.sick or worker.loop.hung) and worker.notice_at is None
 
     def _may_run(self, job):
-        """Whether nothing but room keeps it from running; jobs whose places depend on others are left out."""
+        """Returns whether only a lack of room can keep a job waiting.
+
+        Jobs whose placement depends on other tasks count as False.
+        """
         user = self._world.users[job["id"]]
         bound = job["together"] or job["scatter"] or job["faulty"] or job["shape"] != "batch"
-        above = [self._world.jobs[name] for name in job["upstream"] or () if name in self._world.jobs]
+        upstream = [self._world.jobs[name] for name in job["upstream"] or () if name in self._world.jobs]
         return (
             user.accepted
             and not bound
             and not user.asked_to_cancel
             and not any(other.asked_to_cancel for other in self._world.above(job["id"]))
-            and all(self._world.all_completed(one) for one in above)
+            and all(self._world.all_completed(one) for one in upstream)
         )
 
     def _has_absent_task(self, job, present):
