--- a/roadhead/local/cloud_api.py
+++ b/roadhead/local/cloud_api.py
@@ -63,7 +63,9 @@
             for name in body["drovers"]:
                 worker = self.rented.pop(name, None)
                 if worker is not None:
-                    self.world.given_back += sum(item.status != "exited" for item in worker.tasks.values())
+                    self.world.given_back += sum(
+                        task_attempt.status != "exited" for task_attempt in worker.tasks.values()
+                    )
                     worker.end()
             return 200, {}
         return 400, {}
--- a/roadhead/local/fault_injector.py
+++ b/roadhead/local/fault_injector.py
@@ -24,7 +24,7 @@
 
 
 class FaultInjector:
-    """Injects faults into a world, on a scenario's verbs and on the events that open fault windows wait for.
+    """Injects faults into a world: on a scenario's verbs, and later on the events that a fault window covers.
 
     `verbs` maps a verb to the function that takes the words after it.
     """
@@ -50,10 +50,12 @@
         }
 
     def _open_window(self, name, share, seconds):
+        """Opens the fault window of that name in `FaultWindows`."""
         window = FaultWindow(float(share), self._sim.time + float(seconds))
         setattr(self._world.fault_windows, name, window)
 
     def _window_verb(self, name):
+        """Returns a verb that opens a fault window."""
         return lambda share, seconds: self._open_window(name, share, seconds)
 
     # Copies of reports
--- a/roadhead/local/fault_windows.py
+++ b/roadhead/local/fault_windows.py
@@ -24,17 +24,19 @@
 
 @dataclass
 class FaultWindows:
-    """The fault windows of a world; on a real event loop all stay closed."""
+    """The fault windows of a world. With real processes, only scale runs open one, `slow_reports`."""
 
-    lost_writes: FaultWindow = field(
-        default_factory=FaultWindow
-    )  # executed transactions whose response is lost
+    # Transactions that are executed, but whose response is lost.
+    lost_writes: FaultWindow = field(default_factory=FaultWindow)
+    # Reports of which a copy arrives late.
     late_reports: FaultWindow = field(default_factory=FaultWindow)
     slow_reports: FaultWindow = field(default_factory=FaultWindow)
-    reports_for_next: FaultWindow = field(default_factory=FaultWindow)  # copies kept until the term changes
+    # Reports of which a copy is kept until the term changes.
+    reports_for_next: FaultWindow = field(default_factory=FaultWindow)
     late_commands: FaultWindow = field(default_factory=FaultWindow)
-    cancelled_at_end: FaultWindow = field(
-        default_factory=FaultWindow
-    )  # jobs cancelled as their last task ends
+    # Jobs that their user cancels as their last task ends.
+    cancelled_at_end: FaultWindow = field(default_factory=FaultWindow)
+    # Machines that boot much faster than usual.
     quick_boots: FaultWindow = field(default_factory=FaultWindow)
+    # New job states seen by a user that are checked at once at every controller.
     close_looks: FaultWindow = field(default_factory=FaultWindow)
--- a/roadhead/local/gang.py
+++ b/roadhead/local/gang.py
@@ -12,24 +12,24 @@
         self.job = job
         self.members = {}  # TaskAttempt -> its worker
 
-    def join(self, worker, item):
+    def join(self, worker, task_attempt):
         """Adds an attempt that is ready to run on a worker; starts all if it was the last missing one."""
-        self.members[item] = worker
+        self.members[task_attempt] = worker
         world = worker.world
         tasks = {f"{self.job['id']}/{index}" for index in range(self.job["legs"])} - world.completed
-        if tasks <= {item.task for item in self.members}:
+        if tasks <= {task_attempt.task for task_attempt in self.members}:
             world.together.add(self.job["id"])
-            for item, worker in self.members.items():
-                item.timer.cancel()
-                worker.run(item)
+            for task_attempt, worker in self.members.items():
+                task_attempt.timer.cancel()
+                worker.run(task_attempt)
 
-    def leave(self, item):
+    def leave(self, task_attempt):
         """Removes an attempt; if it ran and did not complete, its peers exit a little later."""
-        worker = self.members.pop(item, None)
-        if worker is not None and item.status != "gathering":
+        worker = self.members.pop(task_attempt, None)
+        if worker is not None and task_attempt.status != "gathering":
 
             def end_peers():
-                if item.task not in worker.world.completed:
+                if task_attempt.task not in worker.world.completed:
                     for peer, host in list(self.members.items()):
                         host._exit(peer, "incomplete")
 
--- a/roadhead/local/histories.py
+++ b/roadhead/local/histories.py
@@ -70,10 +70,10 @@
 
 def describe(answer):
     """Returns a response as a line of text."""
-    said = f"{answer.status} {answer.state or ''}".strip()
+    reported = f"{answer.status} {answer.state or ''}".strip()
     return (
         f"{answer.job_id}: {answer.question.value} at {answer.controller} "
-        f"({answer.asked_at:.3f} to {answer.answered_at:.3f}) says {said}"
+        f"({answer.asked_at:.3f} to {answer.answered_at:.3f}) reports {reported}"
     )
 
 
--- a/roadhead/local/processes.py
+++ b/roadhead/local/processes.py
@@ -183,12 +183,12 @@
         if session == self.session and (task, attempt) not in self.tasks:
             super()._launch(task, attempt)
 
-    def _start(self, item):
-        item.status = "running"
-        job, _, index = item.task.rpartition("/")
+    def _start(self, task_attempt):
+        task_attempt.status = "running"
+        job, _, index = task_attempt.task.rpartition("/")
         upload = self._jobs[job]
         with open(self._out / f"{job}.{index}.log", "wb") as file:
-            item.process = subprocess.Popen(
+            task_attempt.process = subprocess.Popen(
                 upload["command"],
                 stdin=subprocess.DEVNULL,
                 stdout=file,
@@ -197,36 +197,36 @@
                 preexec_fn=die_with_parent,
                 env={**os.environ, "ROADHEAD_JOB": upload["name"], "ROADHEAD_TASK": index},
             )
-        handle = os.pidfd_open(item.process.pid)
+        handle = os.pidfd_open(task_attempt.process.pid)
 
         def on_exit(_mask):
             self.loop.selector.unregister(handle)
             os.close(handle)
-            code = item.process.wait()
-            if item.status == "saving":
-                item.saved = True
-                self._exit(item, "stopped")
-            elif item.status == "running":
+            code = task_attempt.process.wait()
+            if task_attempt.status == "saving":
+                task_attempt.saved = True
+                self._exit(task_attempt, "stopped")
+            elif task_attempt.status == "running":
                 with open(self._out / f"{job}.{index}.exits", "a") as file:
                     print(code, file=file)
-                self._exit(item, "error" if code else "done")
+                self._exit(task_attempt, "error" if code else "done")
 
         self.loop.selector.register(handle, READ, on_exit)
         self.changed()
 
     def execute(self, orders):
         super().execute(orders)
-        for item in self.tasks.values():
-            if item.status == "saving" and not item.saved:
-                self._signal(item, signal.SIGTERM)
+        for task_attempt in self.tasks.values():
+            if task_attempt.status == "saving" and not task_attempt.saved:
+                self._signal(task_attempt, signal.SIGTERM)
 
-    def _leave(self, item):
-        super()._leave(item)
-        self._signal(item, signal.SIGKILL)
+    def _leave(self, task_attempt):
+        super()._leave(task_attempt)
+        self._signal(task_attempt, signal.SIGKILL)
 
     @staticmethod
-    def _signal(item, number):
-        process = getattr(item, "process", None)
+    def _signal(task_attempt, number):
+        process = getattr(task_attempt, "process", None)
         if process is not None and process.returncode is None:
             try:
                 os.killpg(process.pid, number)
--- a/roadhead/local/rules.py
+++ b/roadhead/local/rules.py
@@ -15,16 +15,10 @@
         self.running = {}  # task -> worker
         self.started = {}  # task -> time of its first start
         self.cancelled_at = {}  # job id -> when its user first saw it cancelled
-        self.recorded = (
-            set()
-        )  # tasks that a stored record has called done; kept if a scenario expects `reruns`
+        self.recorded = set()  # tasks that a stored record has called done, if a scenario expects `reruns`
         self.reruns = 0  # starts of recorded tasks
-        self.cancelled_starts = (
-            0  # starts after a confirmed cancellation, including those that `cancel_s` allows
-        )
-        self.longest_gone = (
-            0.0  # longest time, in seconds, that a task ran on after its user saw its job cancelled
-        )
+        self.cancelled_starts = 0  # starts after a confirmed cancellation, even if within `cancel_s`
+        self.longest_gone = 0.0  # longest time in s that a task ran on after its user saw its job cancelled
 
     def break_rule(self, rule, text):
         """Records a violation of a rule."""
@@ -42,10 +36,10 @@
         if other is not None and other is not worker:
             self.break_rule("ran_twice", f"{task} on {other.name} and {worker.name}")
             self._world.explain(("task", task), ("machine", other.name), ("machine", worker.name))
-        told = self.cancelled_at.get(job["id"])
-        self.cancelled_starts += told is not None
-        if told is not None and self._world.sim.time > told + self._cancel_s:
-            self.break_rule("ran_cancelled", f"{task} starts, cancelled at {told:.1f}")
+        confirmed_at = self.cancelled_at.get(job["id"])
+        self.cancelled_starts += confirmed_at is not None
+        if confirmed_at is not None and self._world.sim.time > confirmed_at + self._cancel_s:
+            self.break_rule("ran_cancelled", f"{task} starts, cancelled at {confirmed_at:.1f}")
         self._check_place(task, job, worker)
         self.reruns += task in self.recorded
         self.running[task] = worker
@@ -116,17 +110,19 @@
 
     def _check_cancelled(self, task):
         now = self._world.sim.time
-        told = self.cancelled_at.get(task.rpartition("/")[0])
-        if told is not None:
-            self.longest_gone = max(self.longest_gone, now - told)
-            if now > told + self._cancel_s:
-                self.break_rule("ran_cancelled", f"{task} still runs, cancelled at {told:.1f}")
+        confirmed_at = self.cancelled_at.get(task.rpartition("/")[0])
+        if confirmed_at is not None:
+            self.longest_gone = max(self.longest_gone, now - confirmed_at)
+            if now > confirmed_at + self._cancel_s:
+                self.break_rule("ran_cancelled", f"{task} still runs, cancelled at {confirmed_at:.1f}")
         tenancy = self._world.tenancy
         if tenancy is not None:
             tenant = self._world.job_of(task).get("tenant")
-            told = tenancy.removed_at.get(tenancy.numbers.get(tenant))
-            if told is not None and now > told + 2 * self._cancel_s:
-                self.break_rule("ran_cancelled", f"{task} still runs, its tenant was removed at {told:.1f}")
+            confirmed_at = tenancy.removed_at.get(tenancy.numbers.get(tenant))
+            if confirmed_at is not None and now > confirmed_at + 2 * self._cancel_s:
+                self.break_rule(
+                    "ran_cancelled", f"{task} still runs, its tenant was removed at {confirmed_at:.1f}"
+                )
 
     @property
     def _cancel_s(self):
--- a/roadhead/local/scenario_verbs.py
+++ b/roadhead/local/scenario_verbs.py
@@ -123,7 +123,7 @@
             self._world.user_loop.spawn(act(int(via) if via is not None else None), verb)
 
     def storm(self, rate, seconds):
-        """Polls `rate` times a second, in addition to the jobs' own users."""
+        """Polls at `rate` per second, in addition to the jobs' own users."""
         self._world.storms.append(PollStorm(self._world, float(rate), float(seconds)))
 
     def finals(self, count):
@@ -272,6 +272,7 @@
             self._sim.call_later(float(seconds), self._reclaim, worker)
 
     def _reclaim(self, worker):
+        """Takes a machine away, as announced by its notice."""
         self._world.cloud.rented.pop(worker.name, None)
         if not worker.dead:
             worker.end()
--- a/roadhead/local/server.py
+++ b/roadhead/local/server.py
@@ -20,8 +20,8 @@
         self.net = world.network.host(host, self.loop)
         self.host = host
         self.lose = 0
-        self.late = []  # (matches(method, path, body), delay_s): the next match is executed so much later
-        self.late_share = (0.0, 0.0)  # (share of transactions executed late, until which time)
+        self.late = []  # (matches(method, path, body), delay_s): delays the next matching request
+        self.late_share = (0.0, 0.0)  # (share of transactions to delay, end of the period)
         self.net.listen(address, lambda stream: self.loop.spawn(self._serve(stream), host))
 
     async def _serve(self, stream):
--- a/roadhead/local/sim.py
+++ b/roadhead/local/sim.py
@@ -89,6 +89,7 @@
         self.sim._push(Timer(self.sim.time + delay, arrive, ()))
 
     def _queue_for_turn(self, fn, args):
+        """Buffers a packet until the current iteration of the busy loop ends."""
         if not self._unread:
             self.sim._push(Timer(self.sim.time + self.turn_s, self._deliver_unread, ()))
         self._unread.setdefault(fn.__self__, []).append((fn, args))
--- a/roadhead/local/state_service.py
+++ b/roadhead/local/state_service.py
@@ -1,4 +1,7 @@
-"""Emulates the state service: versioned keys, leases, transactions, watches and limits."""
+"""Emulates the state service: versioned keys, leases, transactions, watches and limits.
+
+In its API, a revision is called `stamp`, the latest one `epoch`, and the id of a lease `permit`.
+"""
 
 import bisect
 import json
@@ -39,14 +42,14 @@
             if self.down:
                 continue
             now = self.sim.time
-            for lease_id in [p for p, (_, ends_at) in self.leases.items() if ends_at <= now]:
+            for lease_id in [key for key, (_, ends_at) in self.leases.items() if ends_at <= now]:
                 self._end_lease(lease_id)
 
     def _end_lease(self, lease_id):
         del self.leases[lease_id]
         if self.keeper:
             self.keeper.lease(lease_id, None, self.last_lease_id)
-        keys = [k for k, (_, _, p) in self.data.items() if p == lease_id]
+        keys = [key for key, (_, _, owner) in self.data.items() if owner == lease_id]
         if keys:
             self.epoch += 1
             for key in keys:
--- a/roadhead/local/tenancy.py
+++ b/roadhead/local/tenancy.py
@@ -191,7 +191,8 @@
 
     @staticmethod
     def _tenant_body(words):
-        """Returns the request body for words like `cpus=8 weight=2 submissions=5 team=letters:cpus=4:cpus_max=6`.
+        """Returns the request body for words such as
+        `cpus=8 weight=2 submissions=5 team=letters:cpus=4:cpus_max=6`.
 
         Without a team, the body has the team `crew`.
         """
--- a/roadhead/local/user.py
+++ b/roadhead/local/user.py
@@ -12,6 +12,7 @@
 
 
 def _question_of(method, path):
+    """Returns the kind of a request."""
     if method == "GET":
         return Question.POLL
     return Question.CANCEL if path.endswith("/cancel") else Question.SUBMIT
@@ -34,12 +35,12 @@
         self.job = job
         self.id = job["id"]
         self.accepted = False
-        self.told = None
-        self.told_at = 0.0
+        self.told = None  # the job's state in the latest response that counts
+        self.told_at = 0.0  # when that state was first seen
         self.gave_up = False
         self.asked_to_cancel = False
         self.answered_at = 0.0  # time of the last successful response
-        self.cancelled_seen_at = None
+        self.cancelled_seen_at = None  # when the job was first seen cancelled
 
     async def _ask(self, method, path, body, timeout, via=None):
         """Sends a request, adds the response to the history of all responses, and returns it as a Reply."""
@@ -94,16 +95,19 @@
             and not self.asked_to_cancel
             and not any(user.asked_to_cancel for user in world.above(self.id))
         ):
-            world.break_rule("went_back", f"{self.id}: nobody cancelled it")
+            world.break_rule("went_back", f"{self.id} is reported as cancelled, but nobody cancelled it")
         if state == "done" and not world.all_completed(self.job):
-            world.break_rule("not_done", self.id)
+            world.break_rule("not_done", f"{self.id} is reported as done before all its tasks have completed")
         if state == "cancelled" and self.cancelled_seen_at is None:
             self.cancelled_seen_at = self.sim.time
             world.cancelled_at[self.id] = self.sim.time
         if state in ("pending", "running") and any(
-            asked_at > told + world.settings["workers"]["cancel_s"] for told in world.cancelled_above(self.id)
+            asked_at > cancelled_at + world.settings["workers"]["cancel_s"]
+            for cancelled_at in world.cancelled_above(self.id)
         ):
-            world.break_rule("orphaned", f"{self.id} is called {state}")
+            world.break_rule(
+                "orphaned", f"{self.id} is reported as {state}, long after an upstream job was cancelled"
+            )
         is_new = state != self.told and (state in ("done", "cancelled") or self.told is None)
         if self.told != state:
             self.told_at = self.sim.time
@@ -118,29 +122,29 @@
 
     def described(self):
         """Returns the job as submitted."""
-        return {k: v for k, v in self.job.items() if k not in SIMULATION_FIELDS}
+        return {name: value for name, value in self.job.items() if name not in SIMULATION_FIELDS}
 
     async def run(self):
         """Submits the job, polls it until it has ended, and checks that the end stays known."""
         loop = self.world.user_loop
-        public = self.described()
+        submission = self.described()
         # A job of a pipeline is submitted as soon as its upstream jobs are accepted.
         while not all(
             self.world.users[name].accepted
-            for name in public.get("upstream") or ()
+            for name in submission.get("upstream") or ()
             if name in self.world.users and name != self.id
         ):
             await loop.sleep(0.05)
-        begun = self.sim.time
+        started_at = self.sim.time
         while not self.accepted:
-            reply = await self._ask("POST", "/v1/jobs", public, 5.0)
+            reply = await self._ask("POST", "/v1/jobs", submission, 5.0)
             if reply.status in (200, 201):
                 self.accepted = True
                 self._hear(reply)
             elif reply.status in (400, 422):
                 self.world.refusals[self.id] = reply.status
                 return
-            elif self.gave_up or self.sim.time - begun > 60:
+            elif self.gave_up or self.sim.time - started_at > 60:
                 self.gave_up = True
                 return
             else:
@@ -155,11 +159,11 @@
 
     async def submit_again(self):
         """Repeats the submission of an accepted job until it is answered."""
-        public = self.described()
+        submission = self.described()
         while not self.accepted:
             await self.world.user_loop.sleep(1.0)
         for _ in range(60):
-            reply = await self._ask("POST", "/v1/jobs", public, 5.0)
+            reply = await self._ask("POST", "/v1/jobs", submission, 5.0)
             if reply.status in (200, 201):
                 self._hear(reply)
                 return
@@ -172,8 +176,8 @@
     async def cancel(self, via=None):
         """Cancels the job, retrying for up to a minute."""
         self.asked_to_cancel = True
-        begun = self.sim.time
-        while self.sim.time - begun < 60:
+        started_at = self.sim.time
+        while self.sim.time - started_at < 60:
             reply = await self._ask("POST", f"/v1/jobs/{self.id}/cancel", None, 5.0, via)
             if reply.status == 200:
                 self._hear(reply)
--- a/roadhead/local/waiting.py
+++ b/roadhead/local/waiting.py
@@ -36,10 +36,10 @@
         """Returns the ids of the jobs of which a task is on no machine, though a machine could run it."""
         machines = [worker for worker in self._world.cloud.rented.values() if self._can_serve(worker)]
         present = {
-            item.task: self._world.job_of(item.task)["vcpus"]
+            task_attempt.task: self._world.job_of(task_attempt.task)["vcpus"]
             for worker in self._world.cloud.rented.values()
-            for item in worker.tasks.values()
-            if item.status != "exited"
+            for task_attempt in worker.tasks.values()
+            if task_attempt.status != "exited"
         }
         most = self._world.options["cpus_max"] or float("inf")
         return {
@@ -78,7 +78,11 @@
     def _fits(self, job, worker):
         if (worker.spot and not job["loaners"]) or job["paddock"] not in (None, worker.zone):
             return False
-        others = [self._world.job_of(item.task) for item in worker.tasks.values() if item.status != "exited"]
+        others = [
+            self._world.job_of(task_attempt.task)
+            for task_attempt in worker.tasks.values()
+            if task_attempt.status != "exited"
+        ]
         return all(
             sum(other[name] for other in others) + job[name] <= worker.kind[name]
             for name in ("vcpus", "gpus", "ramGb")
--- a/roadhead/local/worker.py
+++ b/roadhead/local/worker.py
@@ -1,4 +1,9 @@
-"""Emulates a worker: it reports, executes commands, and kills its tasks when its lease expires."""
+"""Emulates a worker: it reports, executes commands, and kills its tasks when its lease expires.
+
+In messages, a worker is called `drover`, its machine type `rig`, its zone `paddock`, spot capacity `loaners`,
+its session `stint`, a report's sequence number `tally`, a leader's fencing token `brand`, the leader itself
+`boss`, and a task `leg`.
+"""
 
 import cbor2
 
@@ -34,14 +39,14 @@
         self.born = self.sim.time
         self.up = False
         self.dead = False
-        self.sick = False
-        self.stuck = world.stuck_boots > 0
+        self.sick = False  # every task fails
+        self.stuck = world.stuck_boots > 0  # never finishes booting
         if self.stuck:
             world.stuck_boots -= 1
         self.session = 1
         self.sequence = 0
-        self.token = 0
-        self.notice_at = None
+        self.token = 0  # the highest fencing token seen
+        self.notice_at = None  # when the cloud reclaims the machine, once it has given notice
         self.deaf_until = 0.0  # until then, responses and commands to it are lost
         self.mute_until = 0.0  # until then, it opens no connection to a controller
         self.tasks = {}  # (task, attempt) -> TaskAttempt
@@ -59,8 +64,8 @@
         """Ends the machine with everything that runs on it."""
         self.dead = True
         self.died_at = self.sim.time
-        for item in list(self.tasks.values()):
-            self._leave(item)
+        for task_attempt in list(self.tasks.values()):
+            self._leave(task_attempt)
         self.tasks.clear()
         self.world.network.kill(self.host)
 
@@ -84,9 +89,8 @@
                 for open_client in clients.values():
                     open_client.close()
                 clients.clear()
-                await self.loop.sleep(
-                    5.0
-                )  # the time of a connection attempt and the pause before the next one
+                # The time of a failed connection attempt and of the pause before the next one.
+                await self.loop.sleep(5.0)
                 front_index += 1
                 continue
             front = fronts[front_index % len(fronts)]
@@ -187,62 +191,68 @@
         """Carries out the commands of a controller."""
         for order in orders:
             key = (order["leg"], order["try"])
-            item = self.tasks.get(key)
-            if order["verb"] == "launch" and item is None:
+            task_attempt = self.tasks.get(key)
+            if order["verb"] == "launch" and task_attempt is None:
                 self._launch(*key)
-            elif order["verb"] == "stop" and item is not None and item.status != "exited":
-                job = self.world.job_of(item.task)
-                if item.status == "running" and job["musterS"] > 0 and order["letgoS"] >= job["stowS"]:
-                    item.status = "saving"
-                    item.timer.cancel()
-                    item.timer = self.loop.call_later(job["stowS"], self._finish_saving, item)
-                elif item.status != "saving" or order["letgoS"] == 0:
-                    self._exit(item, "stopped")
-            elif order["verb"] == "forget" and item is not None and item.status == "exited":
+            elif order["verb"] == "stop" and task_attempt is not None and task_attempt.status != "exited":
+                job = self.world.job_of(task_attempt.task)
+                if (
+                    task_attempt.status == "running"
+                    and job["musterS"] > 0
+                    and order["letgoS"] >= job["stowS"]
+                ):
+                    task_attempt.status = "saving"
+                    task_attempt.timer.cancel()
+                    task_attempt.timer = self.loop.call_later(job["stowS"], self._finish_saving, task_attempt)
+                elif task_attempt.status != "saving" or order["letgoS"] == 0:
+                    self._exit(task_attempt, "stopped")
+            elif order["verb"] == "forget" and task_attempt is not None and task_attempt.status == "exited":
                 del self.tasks[key]
                 self.changed()
 
     def _launch(self, task, attempt):
-        item = self.tasks[task, attempt] = TaskAttempt(task, attempt)
+        task_attempt = self.tasks[task, attempt] = TaskAttempt(task, attempt)
         job = self.world.job_of(task)
-        others = [i for i in self.tasks.values() if i is not item and i.status != "exited"]
+        others = [i for i in self.tasks.values() if i is not task_attempt and i.status != "exited"]
         used = sum(self.world.job_of(i.task)["vcpus"] for i in others)
         if job is None:
-            self._exit(item, "no_such")
+            self._exit(task_attempt, "no_such")
         elif any(i.task == task for i in others):
-            self._exit(item, "in_use")
+            self._exit(task_attempt, "in_use")
         elif used + job["vcpus"] > self.kind["vcpus"] + 1e-6:
             self.world.no_rooms += 1
-            self._exit(item, "no_room")
+            self._exit(task_attempt, "no_room")
         else:
-            item.timer = self.loop.call_later(self.world.fetch_s, self._start, item)
+            task_attempt.timer = self.loop.call_later(self.world.fetch_s, self._start, task_attempt)
             self.changed()
 
-    def _start(self, item):
-        self.world.on_machine(item.task, self)
-        job = self.world.job_of(item.task)
+    def _start(self, task_attempt):
+        self.world.on_machine(task_attempt.task, self)
+        job = self.world.job_of(task_attempt.task)
         if job["shape"] == "group":
-            item.status = "gathering"
-            item.timer = self.loop.call_later(self.world.gang_wait_s, self._exit, item, "incomplete")
-            self.world.gangs.setdefault((job["id"], item.attempt), Gang(job)).join(self, item)
+            task_attempt.status = "gathering"
+            task_attempt.timer = self.loop.call_later(
+                self.world.gang_wait_s, self._exit, task_attempt, "incomplete"
+            )
+            self.world.gangs.setdefault((job["id"], task_attempt.attempt), Gang(job)).join(self, task_attempt)
             self.changed()
         else:
-            self.run(item)
+            self.run(task_attempt)
 
-    def run(self, item):
+    def run(self, task_attempt):
         """Starts to run a task whose image is there and whose gang, if any, is complete."""
-        item.status = "running"
-        job = self.world.job_of(item.task)
+        task_attempt.status = "running"
+        job = self.world.job_of(task_attempt.task)
         run_s = job["runS"] * self.sim.random.uniform(0.9, 1.1) + (
-            job.get("apartS", 0.0) * int(item.task.rpartition("/")[2])
+            job.get("apartS", 0.0) * int(task_attempt.task.rpartition("/")[2])
         )
-        if item.task in self.world.completed:
+        if task_attempt.task in self.world.completed:
             run_s = 0.0
         if self.sick or job.get("faulty"):
-            item.timer = self.loop.call_later(0.5, self._exit, item, "error")
+            task_attempt.timer = self.loop.call_later(0.5, self._exit, task_attempt, "error")
         else:
-            item.timer = self.loop.call_later(run_s, self._exit, item, "done")
-            item.ends_at = self.sim.time + run_s
+            task_attempt.timer = self.loop.call_later(run_s, self._exit, task_attempt, "done")
+            task_attempt.ends_at = self.sim.time + run_s
         self.changed()
 
     def remaining_s(self, task):
@@ -250,9 +260,9 @@
         ends = [i.ends_at for i in self.tasks.values() if i.task == task and i.status == "running"]
         return max(ends, default=0.0) - self.sim.time
 
-    def _finish_saving(self, item):
-        item.saved = True
-        self._exit(item, "stopped")
+    def _finish_saving(self, task_attempt):
+        task_attempt.saved = True
+        self._exit(task_attempt, "stopped")
 
     def hang(self, seconds):
         """Executes nothing for `seconds`.
@@ -261,36 +271,36 @@
         gone from that moment on.
         """
         self.loop.hang()
-        left = self.renewed_at + self.lease_s - self.loop.now()
+        lease_left_s = self.renewed_at + self.lease_s - self.loop.now()
 
         def expire_lease():
             if self.loop.hung and not self.dead:
                 self._end_session()
 
-        self.sim.call_later(left / self.loop.rate, expire_lease)
+        self.sim.call_later(lease_left_s / self.loop.rate, expire_lease)
         self.sim.call_later(seconds, self.loop.wake)
 
     def _end_session(self):
         self.world.killed += sum(i.status != "exited" for i in self.tasks.values())
-        for item in list(self.tasks.values()):
-            self._leave(item)
+        for task_attempt in list(self.tasks.values()):
+            self._leave(task_attempt)
         self.tasks.clear()
         self.session += 1
         self.renewed_at = self.loop.now()
 
-    def _leave(self, item):
-        if item.timer is not None:
-            item.timer.cancel()
-        if item.status in ("running", "saving", "gathering"):
-            self.world.off_machine(item.task, self)
-            gang = self.world.gangs.get((item.task.rpartition("/")[0], item.attempt))
+    def _leave(self, task_attempt):
+        if task_attempt.timer is not None:
+            task_attempt.timer.cancel()
+        if task_attempt.status in ("running", "saving", "gathering"):
+            self.world.off_machine(task_attempt.task, self)
+            gang = self.world.gangs.get((task_attempt.task.rpartition("/")[0], task_attempt.attempt))
             if gang is not None:
-                gang.leave(item)
+                gang.leave(task_attempt)
 
-    def _exit(self, item, cause):
-        self._leave(item)
-        item.status, item.cause = "exited", cause
+    def _exit(self, task_attempt, cause):
+        self._leave(task_attempt)
+        task_attempt.status, task_attempt.cause = "exited", cause
         if cause == "done":
-            self.world.completed.add(item.task)
-            self.world.task_done(item.task)
+            self.world.completed.add(task_attempt.task)
+            self.world.task_done(task_attempt.task)
         self.changed()
--- a/roadhead/local/world.py
+++ b/roadhead/local/world.py
@@ -26,7 +26,7 @@
 
 
 class Failures(logging.Handler):
-    """Collects the errors of callbacks and coroutines, which an event loop survives but fail a scenario."""
+    """Collects the errors that the event loop logs and survives; a scenario fails on them."""
 
     def __init__(self):
         super().__init__(logging.ERROR)
@@ -77,16 +77,16 @@
         lease_s = self.options["lease_s"]
         self.fetch_s = self.options["fetch_s"]
         self.gang_wait_s, self.gang_peer_s = 3 * lease_s, 0.7 * lease_s
-        self.gangs = {}  # (job, attempt) -> Gang
+        self.gangs = {}  # (job id, attempt) -> Gang
         self.together = set()  # ids of gang jobs whose tasks all ran at the same time
-        self.stuck_boots = 0
-        self.no_rooms = 0
+        self.stuck_boots = 0  # how many of the next machines never finish booting
+        self.no_rooms = 0  # task starts on machines without room
         self.killed = 0  # tasks killed because their worker's lease expired
         self.given_back = 0  # tasks lost because their machine was released to the cloud
-        self.jobs = {}
-        self.users = {}
-        self.refusals = {}
-        self.storms = []
+        self.jobs = {}  # job id -> job as the scenario describes it
+        self.users = {}  # job id -> User
+        self.refusals = {}  # job id -> status with which its submission was refused
+        self.storms = []  # PollStorm of each verb `storm`
         self.fault_windows = FaultWindows()
         self.history = History()  # all responses to users
         self.rules = RuleChecker(self)
@@ -116,6 +116,7 @@
         self.user_net = self.network.host("10.9.0.1", self.user_loop)
 
     def host_loop(self, _host, turn_s=0.0):
+        """Returns an event loop for a host, with a random clock offset and drift."""
         drift = self.options["drift"]
         rate = self.sim.random.choice((1 - drift / 2, 1.0, 1 + drift / 2))
         return HostLoop(self.sim, rate, self.sim.random.uniform(0, 1000), turn_s)
@@ -162,6 +163,7 @@
         return self.fronts
 
     def later_limits(self):
+        """Returns the state limits that the settings announce for later, by name."""
         return {
             name: self.options[f"next_{name}"]
             for name in ("write_rps", "value_kb", "txn_ops")
@@ -173,6 +175,7 @@
         return Node, Tuning, parse
 
     def start(self, number):
+        """Starts a controller, unless it runs."""
         if number in self.nodes:
             return  # after two crashes in a row, the first restart has already happened
         host = f"10.0.0.{number + 1}"
@@ -202,6 +205,7 @@
         return tuning
 
     def crash(self, number, back_after=3.0):
+        """Kills a controller and starts it again `back_after` seconds later."""
         self.network.kill(f"10.0.0.{number + 1}")
         self.nodes.pop(number, None)
         self.sim.call_later(back_after, self.start, number)
@@ -209,9 +213,11 @@
     # Calls from the emulators
 
     def job_of(self, task):
+        """Returns the job of a task, or None."""
         return self.jobs.get(task.rpartition("/")[0])
 
     def all_completed(self, job):
+        """Returns whether all tasks of a job have completed."""
         return self.rules.all_completed(job)
 
     def explain(self, *wanted):
@@ -241,43 +247,54 @@
         ]
 
     def break_rule(self, rule, text):
+        """Records a violation of a rule."""
         self.rules.break_rule(rule, text)
 
     def on_machine(self, task, worker):
+        """Records that a task starts on a worker."""
         self.rules.on_machine(task, worker)
 
     def off_machine(self, task, worker):
+        """Records that a task no longer runs on a worker."""
         self.rules.off_machine(task, worker)
 
     def task_done(self, task):
+        """Is called when a task has completed."""
         job = self.job_of(task)
         if self.all_completed(job):
             self.injector.job_ended(job)
 
     def state_changed(self, writes):
+        """Is called when the state service has executed a transaction."""
         self.injector.state_changed(writes)
 
     def cancelled_above(self, job_id):
+        """Returns when users of upstream jobs first saw the cancellation that they had requested."""
         return self.rules.cancelled_above(job_id)
 
     def above(self, job_id):
+        """Returns the users of all jobs upstream of a job."""
         return self.rules.above(job_id)
 
     # Calls from the scenario
 
     def new_user(self, job):
+        """Returns the emulated user of a job."""
         return User(self, job)
 
     def submit(self, words):
+        """Executes the verb `submit`."""
         self._verbs.submit(*words)
 
     def do(self, words):
+        """Executes an action: a verb and the words after it."""
         verb, *rest = words
         if verb not in self._verbs.table:
             raise ValueError(f"unknown scenario verb {verb!r} in {words}")
         self._verbs.table[verb](*rest)
 
     def run(self):
+        """Runs the scenario to its end and returns this world."""
         for when, words in self.actions:
             self.sim.call_at(when, self.do, words)
         logger = logging.getLogger("roadhead.loop")
@@ -296,6 +313,7 @@
         return self.rules.longest_gone
 
     def counter(self, name):
+        """Returns the sum of a counter over the controllers that run."""
         return sum(node.counters.counts.get(name, 0) for node in self.nodes.values())
 
     def check(self):
