--- a/roadhead/local/cloud_api.py
+++ b/roadhead/local/cloud_api.py
@@ -1,10 +1,10 @@
 """Emulates the cloud: it rents machines, and its list of them is out of date."""
 
-from roadhead.local.server import Server
-from roadhead.local.worker import Worker
+from roadhead.local.server import EmulatedServer
+from roadhead.local.worker import EmulatedWorker
 
 
-class CloudApi(Server):
+class CloudEmulator(EmulatedServer):
     """Serves the cloud's HTTP API; rents at most `capacity` machines of each type in each zone."""
 
     def __init__(self, world, machine_types, capacity, address="10.2.0.2:8443"):
@@ -86,4 +86,4 @@
 
     def new_worker(self, name, number, kind, zone, spot):
         """Returns the worker on a new machine."""
-        return Worker(self.world, name, number, kind, zone, spot)
+        return EmulatedWorker(self.world, name, number, kind, zone, spot)
--- a/roadhead/local/cluster.py
+++ b/roadhead/local/cluster.py
@@ -33,7 +33,7 @@
 }
 
 
-class Failed(Exception):
+class ClusterError(Exception):
     """The cluster failed, or a job file is invalid; the text is for the user."""
 
 
@@ -159,7 +159,7 @@
         addresses = [*self.plan["fronts"], self.plan["tenants"]]
         while addresses:
             if time.monotonic() > deadline:
-                raise Failed(
+                raise ClusterError(
                     f"{', '.join(addresses)} not ready after 30 s; the logs are in {self.directory / 'logs'}"
                 )
             addresses = [
@@ -197,7 +197,7 @@
             if status not in (0, 429, 500, 503):
                 return status, answer
             time.sleep(0.2)
-        raise Failed(f"{request[1]} {request[2]} at {request[0]}: no final response for a minute")
+        raise ClusterError(f"{request[1]} {request[2]} at {request[0]}: no final response for a minute")
 
     def tenant(self):
         """Creates the tenant of this machine's user once; returns its API key, which nobody else gets."""
@@ -250,7 +250,7 @@
         )
         status, answer = self.ask("POST", "/v1/jobs", msgspec.to_builtins(job))
         if status not in (200, 201):
-            raise Failed(f"job {job.id}: {answer.get('detail') or answer['title']}")
+            raise ClusterError(f"job {job.id}: {answer.get('detail') or answer['title']}")
         return job_id
 
     def failures(self, job_id, tasks):
@@ -276,19 +276,19 @@
         for table in tables:
             command = table.pop("command", None)
             if not (isinstance(command, list) and command and all(isinstance(word, str) for word in command)):
-                raise Failed(
+                raise ClusterError(
                     f"{path}: job {table.get('id', '?')}: command must be a list of strings that is not empty"
                 )
             job = msgspec.convert({"team": TEAM, "class": "local", "expected_s": 1.0, **table}, Submission)
             jobs.append((job, command))
     except OSError as error:
-        raise Failed(f"{path}: {error.strerror}") from None
+        raise ClusterError(f"{path}: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
-        raise Failed(f"{path}: {error}") from None
+        raise ClusterError(f"{path}: {error}") from None
     if not jobs:
-        raise Failed(f"{path}: has no [[job]] table")
+        raise ClusterError(f"{path}: has no [[job]] table")
     if len({job.id for job, _command in jobs}) < len(jobs):
-        raise Failed(f"{path}: two jobs have the same id")
+        raise ClusterError(f"{path}: two jobs have the same id")
     return jobs
 
 
--- a/roadhead/local/keeper.py
+++ b/roadhead/local/disk_store.py
@@ -7,7 +7,7 @@
 EPOCH, LAST_LEASE_ID = b"epoch", b"permits"  # keys in the `meta` database
 
 
-class Keeper:
+class DiskStore:
     """A store of keys and leases in an LMDB environment."""
 
     def __init__(self, path):
--- a/roadhead/local/expectations.py
+++ b/roadhead/local/expectations.py
@@ -1,10 +1,10 @@
 """Evaluates a scenario's expectations, the lines `expect NAME ...`, after the scenario has run."""
 
-from roadhead.local.histories import Question
+from roadhead.local.histories import RequestKind
 from roadhead.local.scenario_verbs import job_id
 
 
-def faults_of(world):
+def unmet_expectations(world):
     """Returns a text for every expectation of the scenario that is not met."""
     faults = []
     for name, *words in world.expectations:
@@ -34,9 +34,9 @@
     assert wanted in ("done", "cancelled")
     ids = list(world.users) if numbers == "all" else _ids(numbers)
     return [
-        f"{name} was told {world.users[name].told}, expected {wanted}"
+        f"{name} was told {world.users[name].last_state}, expected {wanted}"
         for name in ids
-        if world.users[name].told != wanted
+        if world.users[name].last_state != wanted
     ]
 
 
@@ -55,7 +55,7 @@
 
 
 def _unavailable(world, question, relation, bound):
-    count = world.history.unavailable(Question(question))
+    count = world.history.unavailable(RequestKind(question))
     return _compare(f"the number of 503 responses to {question}", count, relation, bound)
 
 
@@ -86,9 +86,9 @@
 
 def _accepted_done(world, tenant):
     unfinished = [
-        f"{user.own} was accepted and is {user.told}, expected done"
+        f"{user.own} was accepted and is {user.last_state}, expected done"
         for user in world.users.values()
-        if user.tenant == tenant and user.accepted and user.told != "done"
+        if user.tenant == tenant and user.accepted and user.last_state != "done"
     ]
     # Every stored job was accepted, or would be on the next request for it.
     stored = [
@@ -101,9 +101,9 @@
 
 def tenants_told(world, tenant, wanted):
     return [
-        f"{user.own} of {tenant} is {user.told}, expected {wanted}"
+        f"{user.own} of {tenant} is {user.last_state}, expected {wanted}"
         for user in world.users.values()
-        if getattr(user, "tenant", None) == tenant and user.told != wanted
+        if getattr(user, "tenant", None) == tenant and user.last_state != wanted
     ]
 
 
@@ -190,7 +190,7 @@
 
 def _mostly_done(world, numbers):
     ids = _ids(numbers)
-    done = sum(world.users[name].told == "done" for name in ids)
+    done = sum(world.users[name].last_state == "done" for name in ids)
     return [] if 2 * done >= len(ids) else [f"{done} of the jobs {numbers} are done, expected at least half"]
 
 
--- a/roadhead/local/fault_injector.py
+++ b/roadhead/local/fault_injector.py
@@ -3,11 +3,11 @@
 from dataclasses import dataclass
 
 from roadhead.local.fault_windows import FaultWindow
-from roadhead.local.probes import CloseLook, OddRequests
+from roadhead.local.probes import ConsistencyProbe, InvalidRequests
 from roadhead.local.sim import HostLoop
 from roadhead.membership.member import TERM
 from roadhead.runtime.loop import Timeout
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 CANCELLED_WITHIN_S = 0.2  # cancellations of `cancel-now` are spread over this time
 MAX_HUNG_WORKERS = 8  # workers of cancelled jobs that `cancel-now` makes hang
@@ -46,7 +46,7 @@
             "close-looks": lambda seconds: self._open_window("close_looks", 1, seconds),
             "mute": self.mute,
             "cancel-now": self.cancel_now,
-            "odd-requests": lambda s: self.odd_requests.append(OddRequests(self._world, float(s))),
+            "odd-requests": lambda s: self.odd_requests.append(InvalidRequests(self._world, float(s))),
         }
 
     def _open_window(self, name, share, seconds):
@@ -84,7 +84,7 @@
     async def _post(self, front, body):
         try:
             await Client(self._loop, self._net, front, 0).request("POST", "/v1/report", body, 4.0)
-        except (NoAnswer, Timeout):
+        except (NoResponseError, Timeout):
             pass
 
     # Machines
@@ -107,7 +107,7 @@
             job_id = task.rpartition("/")[0]
             seconds = worker.remaining_s(task)
             user = self._world.users[job_id]
-            if seconds >= MIN_REMAINING_S and user.told not in ("done", "cancelled") and user.accepted:
+            if seconds >= MIN_REMAINING_S and user.last_state not in ("done", "cancelled") and user.accepted:
                 remaining_s[job_id] = max(seconds, remaining_s.get(job_id, 0.0))
         job_ids = sorted(remaining_s, key=lambda job_id: (-remaining_s[job_id], job_id))[: int(count)]
         machines = {
@@ -135,4 +135,4 @@
     def user_learned(self, user):
         """Is called when a user first sees that its job is accepted, done or cancelled."""
         if self._world.fault_windows.close_looks.strikes(self._sim) and "tenant" not in user.job:
-            CloseLook(self._world, user)
+            ConsistencyProbe(self._world, user)
--- a/roadhead/local/histories.py
+++ b/roadhead/local/histories.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 
-class Question(enum.Enum):
+class RequestKind(enum.Enum):
     """The kind of a user's request."""
 
     SUBMIT = "submit"
@@ -42,7 +42,7 @@
     """
 
     job_id: str
-    question: Question
+    question: RequestKind
     controller: str
     asked_at: float
     answered_at: float
@@ -91,7 +91,7 @@
 
 
 @dataclass
-class History:
+class AnswerHistory:
     """Takes responses in the order of their arrival and finds those that are too old.
 
     `counts` are the responses by (question, status). `overlaps` counts older responses to requests that were
@@ -140,10 +140,10 @@
     def _check_form(self, job, answer):
         if job.submitted_at is None or job.submitted_at > answer.answered_at:
             yield Fault(Rule.INVENTED, answer)
-        if answer.question is Question.CANCEL and not answer.final:
+        if answer.question is RequestKind.CANCEL and not answer.final:
             yield Fault(Rule.BAD_ANSWER, answer)
         if answer.status == 201 and (
-            answer.question is not Question.SUBMIT or _completed_before(job.accepted, answer)
+            answer.question is not RequestKind.SUBMIT or _completed_before(job.accepted, answer)
         ):
             yield Fault(Rule.BAD_ANSWER, answer, job.accepted)
 
--- a/roadhead/local/probes.py
+++ b/roadhead/local/probes.py
@@ -1,14 +1,14 @@
 """Probes with unusual requests: many within milliseconds, repeated ones, and invalid ones."""
 
 from roadhead.local.histories import FINAL
-from roadhead.local.scenario import job_from
+from roadhead.local.scenario import parse_job
 
 PROBE_DELAYS_S = (0.001, 0.005, 0.02, 0.1)
 REQUEST_EVERY_S = 0.5
 FIRST_INVALID_NUMBER = 700_000  # the first number in the ids of invalid jobs
 
 
-class CloseLook:
+class ConsistencyProbe:
     """Polls and repeats the submission at every controller, right after a user has seen a new state."""
 
     def __init__(self, world, user):
@@ -26,10 +26,10 @@
         if method == "GET":
             user._hear(await user._ask("GET", f"/v1/jobs/{user.id}", None, 2.0, via))
         else:
-            user._hear(await user._ask("POST", "/v1/jobs", user.described(), 5.0, via))
+            user._hear(await user._ask("POST", "/v1/jobs", user.submission(), 5.0, via))
 
 
-class OddRequests:
+class InvalidRequests:
     """Sends, for a while, repeated submissions, cancellations of finished jobs, and invalid jobs.
 
     `sent` counts the invalid jobs that were answered, `refused` those of them that got 400 or 422.
@@ -56,12 +56,12 @@
         return self._world.sim.random.choice(users) if users else None
 
     async def _repeat_submission(self):
-        user = self._random_user(lambda user: user.told not in FINAL)
+        user = self._random_user(lambda user: user.last_state not in FINAL)
         if user is not None:
             await user.submit_again()
 
     async def _cancel_done(self):
-        user = self._random_user(lambda user: user.told == "done")
+        user = self._random_user(lambda user: user.last_state == "done")
         if user is not None:
             user._hear(await user._ask("POST", f"/v1/jobs/{user.id}/cancel", None, 5.0))
 
@@ -74,13 +74,13 @@
     async def _send(self, fields, without=None):
         world = self._world
         count = sum(len(requests.ids) for requests in world.injector.odd_requests)
-        job = {**job_from({}), **fields, "id": f"req-{FIRST_INVALID_NUMBER + count}"}
+        job = {**parse_job({}), **fields, "id": f"req-{FIRST_INVALID_NUMBER + count}"}
         job.pop(without, None)
         self.ids.append(job["id"])
         user = world.new_user(job)  # not added to the world's users, as its job must never run
-        status = (await user._ask("POST", "/v1/jobs", user.described(), 5.0)).status
+        status = (await user._ask("POST", "/v1/jobs", user.submission(), 5.0)).status
         if status in (200, 201):
-            world.break_rule(
+            world.record_violation(
                 "odd_accepted", f"invalid job {job['id']} was answered {status}, expected 400 or 422"
             )
         self.sent += status != 0
@@ -91,4 +91,4 @@
         """Checks that the state service stores nothing of the invalid jobs."""
         for key in self._world.state.data:
             if key.rpartition("/")[2] in self.ids:
-                self._world.break_rule("odd_accepted", f"key {key} of an invalid job is stored")
+                self._world.record_violation("odd_accepted", f"key {key} of an invalid job is stored")
--- a/roadhead/local/processes.py
+++ b/roadhead/local/processes.py
@@ -16,14 +16,14 @@
 
 import cbor2
 
-from roadhead.local.cloud_api import CloudApi
+from roadhead.local.cloud_api import CloudEmulator
+from roadhead.local.disk_store import DiskStore
 from roadhead.local.fault_windows import FaultWindows
-from roadhead.local.keeper import Keeper
-from roadhead.local.state_service import StateService
-from roadhead.local.worker import Worker
+from roadhead.local.state_service import StateServiceEmulator
+from roadhead.local.worker import EmulatedWorker
 from roadhead.runtime.loop import Loop
 from roadhead.runtime.net import READ, Net
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 PR_SET_PDEATHSIG = 1  # from <linux/prctl.h>
 
@@ -45,7 +45,7 @@
         return self._loop.now()
 
 
-class Ground:
+class ProcessWorld:
     """Provides to the emulators what a `World` does, on the real event loop and real sockets."""
 
     def __init__(self, directory):
@@ -83,7 +83,7 @@
     state_changed = task_done
 
 
-class RealCloud(CloudApi):
+class RealCloud(CloudEmulator):
     """A cloud whose machines are worker processes; it also stores the uploads of the users' jobs."""
 
     def __init__(self, ground):
@@ -154,7 +154,7 @@
         self.process.wait()
 
 
-class RealWorker(Worker):
+class RealWorker(EmulatedWorker):
     """Runs each task's command as a process group of its own, with its output in a file."""
 
     def __init__(self, ground, name, address, zone, spot):
@@ -176,7 +176,7 @@
         job, session = task.rpartition("/")[0], self.session
         try:
             status, data, _ = await self._cloud_client.request("GET", f"/uploads/{job}")
-        except NoAnswer:
+        except NoResponseError:
             return  # the controller repeats the launch until a report shows the task
         if status == 200:
             self._jobs[job] = cbor2.loads(data)
@@ -243,9 +243,9 @@
 
 def main(part, directory, *arguments):
     """Runs one emulator until the process is killed."""
-    ground = Ground(directory)
+    ground = ProcessWorld(directory)
     if part == "state":
-        StateService(ground, ground.plan["state"], Keeper(str(ground.directory / "state")))
+        StateServiceEmulator(ground, ground.plan["state"], DiskStore(str(ground.directory / "state")))
     elif part == "cloud":
         RealCloud(ground)
     else:
--- a/roadhead/local/rules.py
+++ b/roadhead/local/rules.py
@@ -6,11 +6,11 @@
 
 
 class RuleChecker:
-    """Collects violations of the rules in `broken`; the other attributes record what really happened."""
+    """Collects violations of the rules in `violations`; the other attributes record what really happened."""
 
     def __init__(self, world):
         self._world = world
-        self.broken = []
+        self.violations = []
         self.completed = set()
         self.running = {}  # task -> worker
         self.started = {}  # task -> time of its first start
@@ -20,9 +20,9 @@
         self.cancelled_starts = 0  # starts after a confirmed cancellation, even if within `cancel_s`
         self.longest_gone = 0.0  # longest time in s that a task ran on after its user saw its job cancelled
 
-    def break_rule(self, rule, text):
+    def record_violation(self, rule, text):
         """Records a violation of a rule."""
-        self.broken.append(f"{self._world.sim.time:.1f} {rule}: {text}")
+        self.violations.append(f"{self._world.sim.time:.1f} {rule}: {text}")
 
     def all_completed(self, job):
         """Returns whether all tasks of a job have completed."""
@@ -34,12 +34,12 @@
         self._check_order(task, job)
         other = self.running.get(task)
         if other is not None and other is not worker:
-            self.break_rule("ran_twice", f"{task} on {other.name} and {worker.name}")
+            self.record_violation("ran_twice", f"{task} on {other.name} and {worker.name}")
             self._world.explain(("task", task), ("machine", other.name), ("machine", worker.name))
         confirmed_at = self.cancelled_at.get(job["id"])
         self.cancelled_starts += confirmed_at is not None
         if confirmed_at is not None and self._world.sim.time > confirmed_at + self._cancel_s:
-            self.break_rule("ran_cancelled", f"{task} starts, cancelled at {confirmed_at:.1f}")
+            self.record_violation("ran_cancelled", f"{task} starts, cancelled at {confirmed_at:.1f}")
         self._check_place(task, job, worker)
         self.reruns += task in self.recorded
         self.running[task] = worker
@@ -49,38 +49,38 @@
     def _check_order(self, task, job):
         for upstream_id in job.get("upstream") or ():
             if not self.all_completed(self._world.jobs[upstream_id]):
-                self.break_rule("too_early", f"{task} starts before {upstream_id} is done")
+                self.record_violation("too_early", f"{task} starts before {upstream_id} is done")
 
     def _check_place(self, task, job, worker):
         if (worker.spot and not job["loaners"]) or job["paddock"] not in (None, worker.zone):
-            self.break_rule(
+            self.record_violation(
                 "wrong_place", f"{task} on {worker.name} (zone {worker.zone}, spot {worker.spot})"
             )
         zones = [w.zone for t, w in self.running.items() if self._world.job_of(t) is job and t != task]
         if job["together"] and any(zone != worker.zone for zone in zones):
-            self.break_rule(
+            self.record_violation(
                 "wrong_place", f"{task} in {worker.zone}, not in the zone of its job's other tasks"
             )
         if job["scatter"] and zones.count(worker.zone) + 1 > (job["legs"] + 1) // 2:
-            self.break_rule(
+            self.record_violation(
                 "wrong_place", f"{task} in {worker.zone}, which has half of its job's tasks already"
             )
 
     def _check_quota(self, task):
         tenancy, most = self._world.tenancy, self._world.options["cpus_max"]
         if tenancy is not None and (over := tenancy.check_limits(task, self.running)):
-            self.break_rule("quota", f"{task} exceeds the limit of {over}")
+            self.record_violation("quota", f"{task} exceeds the limit of {over}")
         team = self._world.job_of(task)["crew"]
         team_jobs = [job for t in self.running if (job := self._world.job_of(t))["crew"] == team]
         if most and team != FREE and sum(job["vcpus"] for job in team_jobs) > most + 1e-6:
-            self.break_rule("quota", f"{task} exceeds cpus_max of team {team}")
+            self.record_violation("quota", f"{task} exceeds cpus_max of team {team}")
 
     def off_machine(self, task, worker):
         """Records that a task no longer runs on a worker."""
         if self.running.get(task) is worker:
             del self.running[task]
 
-    def above(self, job_id):
+    def upstream_users(self, job_id):
         """Returns the users of all jobs upstream of a job, direct and indirect."""
         to_visit, seen = [job_id], {}
         while to_visit:
@@ -94,7 +94,7 @@
         """Returns the times at which users of upstream jobs first saw the cancellation they had requested."""
         return [
             user.cancelled_seen_at
-            for user in self.above(job_id)
+            for user in self.upstream_users(job_id)
             if user.asked_to_cancel and user.cancelled_seen_at is not None
         ]
 
@@ -114,13 +114,13 @@
         if confirmed_at is not None:
             self.longest_gone = max(self.longest_gone, now - confirmed_at)
             if now > confirmed_at + self._cancel_s:
-                self.break_rule("ran_cancelled", f"{task} still runs, cancelled at {confirmed_at:.1f}")
+                self.record_violation("ran_cancelled", f"{task} still runs, cancelled at {confirmed_at:.1f}")
         tenancy = self._world.tenancy
         if tenancy is not None:
             tenant = self._world.job_of(task).get("tenant")
             confirmed_at = tenancy.removed_at.get(tenancy.numbers.get(tenant))
             if confirmed_at is not None and now > confirmed_at + 2 * self._cancel_s:
-                self.break_rule(
+                self.record_violation(
                     "ran_cancelled", f"{task} still runs, its tenant was removed at {confirmed_at:.1f}"
                 )
 
@@ -145,7 +145,9 @@
         for user in self._world.users.values():
             if (
                 user.accepted
-                and user.told not in ("done", "cancelled")
+                and user.last_state not in ("done", "cancelled")
                 and (self._world.sim.time > max(settled, user.answered_at) + UNANSWERED_S)
             ):
-                self.break_rule("forgotten", f"{user.id}: no request answered since {user.answered_at:.1f}")
+                self.record_violation(
+                    "forgotten", f"{user.id}: no request answered since {user.answered_at:.1f}"
+                )
--- a/roadhead/local/scenario.py
+++ b/roadhead/local/scenario.py
@@ -69,7 +69,7 @@
     return scenario
 
 
-def job_from(fields):
+def parse_job(fields):
     """Returns a job as submitted: the fields of a scenario's line (name -> text) and defaults."""
     job = {
         "jobclass": "c",
--- a/roadhead/local/scenario_verbs.py
+++ b/roadhead/local/scenario_verbs.py
@@ -1,7 +1,7 @@
 """Implements the verbs of a scenario's actions, the lines `at SECOND VERB ...`."""
 
 from roadhead.local.poll_storm import PollStorm
-from roadhead.local.scenario import job_from
+from roadhead.local.scenario import parse_job
 from roadhead.local.tenancy import TenantUser
 from roadhead.tenants.ids import to_job
 
@@ -66,7 +66,7 @@
         world = self._world
         number = len(world.jobs) + 1
         for _ in range(int(given.pop("count", 1))):
-            job = {**job_from(given), "id": job_id(number)}
+            job = {**parse_job(given), "id": job_id(number)}
             world.jobs[job["id"]] = job
             user = world.users[job["id"]] = world.new_user(job)
             world.user_loop.spawn(user.run(), job["id"])
@@ -83,7 +83,7 @@
 
     def _start_tenant_user(self, given, tenant, name):
         world = self._world
-        job = {**job_from(given), "id": to_job(world.tenancy.numbers[tenant], name), "tenant": tenant}
+        job = {**parse_job(given), "id": to_job(world.tenancy.numbers[tenant], name), "tenant": tenant}
         world.jobs[job["id"]] = job
         user = world.users[job["id"]] = TenantUser(world, job, name)
         user.submitted_at = self._sim.time
@@ -94,7 +94,7 @@
         world = self._world
         user_id = job_id(len(world.jobs) + 1)
         world.submit(words)
-        described = world.users[user_id].described()
+        described = world.users[user_id].submission()
         world.state.put(
             f"j/{user_id}",
             {
--- a/roadhead/local/server.py
+++ b/roadhead/local/server.py
@@ -7,7 +7,7 @@
 from roadhead.wire import http
 
 
-class Server:
+class EmulatedServer:
     """An HTTP server on a host of its own; subclasses define `handle`.
 
     The next `lose` POST requests are executed, but their responses are never sent.
--- a/roadhead/local/state_service.py
+++ b/roadhead/local/state_service.py
@@ -6,13 +6,13 @@
 import bisect
 import json
 
-from roadhead.local.server import Server
+from roadhead.local.server import EmulatedServer
 from roadhead.runtime.loop import Future
 
 MAX_LOG_EVENTS = 10_000  # older changes are compacted
 
 
-class StateService(Server):
+class StateServiceEmulator(EmulatedServer):
     """Serves the state service's HTTP API.
 
     `keeper` saves every change to disk before the response; without one, no data outlives the process.
--- a/roadhead/local/tenancy.py
+++ b/roadhead/local/tenancy.py
@@ -6,13 +6,13 @@
 import msgspec
 
 from roadhead.gateway.gateway import Gateway
-from roadhead.local.user import User
+from roadhead.local.user import EmulatedUser
 from roadhead.runtime.loop import Timeout
 from roadhead.tenants import ids
-from roadhead.tenants.desk import Desk
+from roadhead.tenants.admission_controller import TenantAdmissionController
 from roadhead.tenants.keys import Secrets
 from roadhead.tenants.settings import Hosted
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 MASTER = b"a master secret of a virtual world"
 LIMITS_SETTLE_S = 15.0  # time within which every start sent before a change of limits has arrived
@@ -101,9 +101,9 @@
         """Returns the simulated Unix time."""
         return 1e9 + self.world.sim.time
 
-    def desk(self, loop):
+    def tenant_admission(self, loop):
         """Returns a controller's tenant admission."""
-        return Desk(loop, self._hosted[0], self.time_of_day)
+        return TenantAdmissionController(loop, self._hosted[0], self.time_of_day)
 
     async def ask(self, kind, method, path, body, key, timeout=5.0, headers=()):
         """Sends a request to a random live gateway; returns (status, body), or (0, None) without a response.
@@ -125,7 +125,7 @@
                 [("Authorization", f"Bearer {key}"), ("Accept", "application/json"), *headers],
                 "application/json",
             )
-        except (NoAnswer, Timeout):
+        except (NoResponseError, Timeout):
             return 0, None
         return status, (json.loads(data) if data else None)
 
@@ -244,7 +244,7 @@
         ]
 
 
-class TenantUser(User):
+class TenantUser(EmulatedUser):
     """A user of a tenant: submits and polls through the gateways, by the tenant's own job id."""
 
     def __init__(self, world, job, own):
@@ -267,7 +267,7 @@
         status, answer = await tenancy.ask("tenants", method, path, body, tenancy.keys[self.tenant], timeout)
         if status in (200, 201):
             if answer["id"] != self.own:
-                self.world.break_rule(
+                self.world.record_violation(
                     "invented", f"the response for job {self.own} has the id {answer['id']}"
                 )
             self.first_accepted_at = self.first_accepted_at or self.world.sim.time
--- a/roadhead/local/user.py
+++ b/roadhead/local/user.py
@@ -4,9 +4,9 @@
 
 import cbor2
 
-from roadhead.local.histories import FINAL, REFUSED, Answer, Question
+from roadhead.local.histories import FINAL, REFUSED, Answer, RequestKind
 from roadhead.runtime.loop import Timeout
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 SIMULATION_FIELDS = ("runS", "apartS", "faulty")  # fields for the emulated worker, not part of a submission
 
@@ -14,8 +14,8 @@
 def _question_of(method, path):
     """Returns the kind of a request."""
     if method == "GET":
-        return Question.POLL
-    return Question.CANCEL if path.endswith("/cancel") else Question.SUBMIT
+        return RequestKind.POLL
+    return RequestKind.CANCEL if path.endswith("/cancel") else RequestKind.SUBMIT
 
 
 class Reply(NamedTuple):
@@ -26,7 +26,7 @@
     asked_at: float
 
 
-class User:
+class EmulatedUser:
     """Submits a job and polls it until it has ended, as the protocol requires of users."""
 
     def __init__(self, world, job):
@@ -35,7 +35,7 @@
         self.job = job
         self.id = job["id"]
         self.accepted = False
-        self.told = None  # the job's state in the latest response that counts
+        self.last_state = None  # the job's state in the latest response that counts
         self.told_at = 0.0  # when that state was first seen
         self.gave_up = False
         self.asked_to_cancel = False
@@ -57,7 +57,7 @@
         for fault in world.history.add(
             Answer(job_id, question, front or "none", asked_at, self.sim.time, status, state)
         ):
-            world.break_rule(fault.rule.value, str(fault))
+            world.record_violation(fault.rule.value, str(fault))
         return Reply(status, answer, asked_at)
 
     def _front(self, via):
@@ -76,7 +76,7 @@
         data = cbor2.dumps(body) if body is not None else b""
         try:
             status, data, _ = await client.request(method, path, data, timeout)
-        except (NoAnswer, Timeout):
+        except (NoResponseError, Timeout):
             return 0, None
         return status, (cbor2.loads(data) if data else None)
 
@@ -88,16 +88,20 @@
             return
         self.answered_at = self.sim.time
         state = answer["status"]
-        if self.told in FINAL and state not in FINAL:
+        if self.last_state in FINAL and state not in FINAL:
             return  # an older response to an overlapping request, or a violation reported by the history
         if (
             state == "cancelled"
             and not self.asked_to_cancel
-            and not any(user.asked_to_cancel for user in world.above(self.id))
+            and not any(user.asked_to_cancel for user in world.upstream_users(self.id))
         ):
-            world.break_rule("went_back", f"{self.id} is reported as cancelled, but nobody cancelled it")
+            world.record_violation(
+                "went_back", f"{self.id} is reported as cancelled, but nobody cancelled it"
+            )
         if state == "done" and not world.all_completed(self.job):
-            world.break_rule("not_done", f"{self.id} is reported as done before all its tasks have completed")
+            world.record_violation(
+                "not_done", f"{self.id} is reported as done before all its tasks have completed"
+            )
         if state == "cancelled" and self.cancelled_seen_at is None:
             self.cancelled_seen_at = self.sim.time
             world.cancelled_at[self.id] = self.sim.time
@@ -105,13 +109,13 @@
             asked_at > cancelled_at + world.settings["workers"]["cancel_s"]
             for cancelled_at in world.cancelled_above(self.id)
         ):
-            world.break_rule(
+            world.record_violation(
                 "orphaned", f"{self.id} is reported as {state}, long after an upstream job was cancelled"
             )
-        is_new = state != self.told and (state in ("done", "cancelled") or self.told is None)
-        if self.told != state:
+        is_new = state != self.last_state and (state in ("done", "cancelled") or self.last_state is None)
+        if self.last_state != state:
             self.told_at = self.sim.time
-        self.told = state
+        self.last_state = state
         if is_new:
             world.injector.user_learned(self)
 
@@ -120,14 +124,14 @@
         """Returns whether the job may have been deleted, as the jobs of a removed tenant are."""
         return False
 
-    def described(self):
+    def submission(self):
         """Returns the job as submitted."""
         return {name: value for name, value in self.job.items() if name not in SIMULATION_FIELDS}
 
     async def run(self):
         """Submits the job, polls it until it has ended, and checks that the end stays known."""
         loop = self.world.user_loop
-        submission = self.described()
+        submission = self.submission()
         # A job of a pipeline is submitted as soon as its upstream jobs are accepted.
         while not all(
             self.world.users[name].accepted
@@ -149,7 +153,7 @@
                 return
             else:
                 await loop.sleep(1.0 + self.sim.random.random())
-        while self.told not in ("done", "cancelled"):
+        while self.last_state not in ("done", "cancelled"):
             await loop.sleep(4.0 + 2 * self.sim.random.random())
             self._hear(await self._ask("GET", f"/v1/jobs/{self.id}", None, 2.0))
         # Long after its end, every controller must still report the same state.
@@ -159,7 +163,7 @@
 
     async def submit_again(self):
         """Repeats the submission of an accepted job until it is answered."""
-        submission = self.described()
+        submission = self.submission()
         while not self.accepted:
             await self.world.user_loop.sleep(1.0)
         for _ in range(60):
--- a/roadhead/local/worker.py
+++ b/roadhead/local/worker.py
@@ -9,9 +9,9 @@
 
 from roadhead.local.fault_windows import QUICK_BOOT_S, SLOW_REPORT_S
 from roadhead.local.gang import Gang
-from roadhead.local.server import Server
+from roadhead.local.server import EmulatedServer
 from roadhead.runtime.loop import Future
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 REPORT_TIMEOUT_S = 4.0  # a worker ignores a response that takes longer, as the protocol requires
 
@@ -29,7 +29,7 @@
         self.ends_at = 0.0  # virtual time at which a running attempt will be done
 
 
-class Worker(Server):
+class EmulatedWorker(EmulatedServer):
     """A worker machine: boots, reports to controllers, serves commands, and runs tasks by timers."""
 
     def __init__(self, world, name, number, kind, zone, spot, address=None):
@@ -110,7 +110,7 @@
                     status, data = 0, b""
                     client.close()
                     await self.loop.sleep(max(0.0, sent_at + REPORT_TIMEOUT_S - self.loop.now()))
-            except NoAnswer:
+            except NoResponseError:
                 status, data = 0, b""
             if status == 200:
                 answer = cbor2.loads(data)
@@ -139,7 +139,7 @@
         await self.loop.sleep(self.sim.random.uniform(2.0, 3 * self.lease_s))
         try:
             await Client(self.loop, self.net, front, 0).request("POST", "/v1/report", body, 4.0)
-        except NoAnswer:
+        except NoResponseError:
             pass
 
     async def _watch_lease(self):
--- a/roadhead/local/world.py
+++ b/roadhead/local/world.py
@@ -6,18 +6,18 @@
 import msgspec
 
 from roadhead.local import expectations
-from roadhead.local.cloud_api import CloudApi
+from roadhead.local.cloud_api import CloudEmulator
 from roadhead.local.fault_injector import FaultInjector
 from roadhead.local.fault_windows import FaultWindows
-from roadhead.local.histories import History
+from roadhead.local.histories import AnswerHistory
 from roadhead.local.rules import RuleChecker
 from roadhead.local.scenario import FREE, parse_scenario
 from roadhead.local.scenario_verbs import ScenarioVerbs
 from roadhead.local.sim import HostLoop, Network, Sim
-from roadhead.local.state_service import StateService
+from roadhead.local.starvation_check import StarvationCheck
+from roadhead.local.state_service import StateServiceEmulator
 from roadhead.local.tenancy import Tenancy
-from roadhead.local.user import User
-from roadhead.local.waiting import WaitingCheck
+from roadhead.local.user import EmulatedUser
 from roadhead.node import Node
 from roadhead.settings import Tuning, parse
 
@@ -70,7 +70,7 @@
         for number in range(options["controllers"]):
             self.start(number)
         self.sim.spawn(self.rules.watch(), "checks")
-        self.sim.spawn(WaitingCheck(self).watch(), "waiting check")
+        self.sim.spawn(StarvationCheck(self).watch(), "waiting check")
 
     def _init_records(self):
         """Creates the state that the emulators and checks share: what has happened and what is to happen."""
@@ -88,15 +88,15 @@
         self.refusals = {}  # job id -> status with which its submission was refused
         self.storms = []  # PollStorm of each verb `storm`
         self.fault_windows = FaultWindows()
-        self.history = History()  # all responses to users
+        self.history = AnswerHistory()  # all responses to users
         self.rules = RuleChecker(self)
-        self.broken, self.completed = self.rules.broken, self.rules.completed
+        self.violations, self.completed = self.rules.violations, self.rules.completed
         self.running, self.started = self.rules.running, self.rules.started
         self.cancelled_at = self.rules.cancelled_at
 
     def _make_emulators(self):
         self.injector = FaultInjector(self)
-        self.state = StateService(self)
+        self.state = StateServiceEmulator(self)
         machine_types = [
             {
                 "name": "box",
@@ -111,7 +111,7 @@
                 "paddocks": list(self.zones),
             }
         ]
-        self.cloud = CloudApi(self, machine_types, self.options["capacity"])
+        self.cloud = CloudEmulator(self, machine_types, self.options["capacity"])
         self.user_loop = self.host_loop("10.9.0.1")
         self.user_net = self.network.host("10.9.0.1", self.user_loop)
 
@@ -191,7 +191,7 @@
             self._apply_options(tuning()),
             random.Random(self.sim.random.random()),
             time_of_day=lambda: EPOCH_S + self.sim.time,
-            hosted=self.tenancy.desk(loop) if self.tenancy is not None else None,
+            hosted=self.tenancy.tenant_admission(loop) if self.tenancy is not None else None,
         )
         self.nodes[number] = node
         if hasattr(node, "decisions"):  # an older version may have no decision log
@@ -246,9 +246,9 @@
             for entry, label in entries
         ]
 
-    def break_rule(self, rule, text):
+    def record_violation(self, rule, text):
         """Records a violation of a rule."""
-        self.rules.break_rule(rule, text)
+        self.rules.record_violation(rule, text)
 
     def on_machine(self, task, worker):
         """Records that a task starts on a worker."""
@@ -272,15 +272,15 @@
         """Returns when users of upstream jobs first saw the cancellation that they had requested."""
         return self.rules.cancelled_above(job_id)
 
-    def above(self, job_id):
+    def upstream_users(self, job_id):
         """Returns the users of all jobs upstream of a job."""
-        return self.rules.above(job_id)
+        return self.rules.upstream_users(job_id)
 
     # Calls from the scenario
 
     def new_user(self, job):
         """Returns the emulated user of a job."""
-        return User(self, job)
+        return EmulatedUser(self, job)
 
     def submit(self, words):
         """Executes the verb `submit`."""
@@ -320,7 +320,7 @@
         """Returns the violations, the logged errors and the unmet expectations, as texts."""
         for requests in self.injector.odd_requests:
             requests.check()
-        faults = [*self.broken, *self.failures.texts[:3]]
+        faults = [*self.violations, *self.failures.texts[:3]]
         if self.counter("duties_failed"):
             faults.append("a periodic duty failed (counter duties_failed)")
-        return faults + expectations.faults_of(self)
+        return faults + expectations.unmet_expectations(self)
--- a/roadhead/scale/hollow.py
+++ b/roadhead/scale/hollow.py
@@ -1,9 +1,9 @@
 """Hollow workers, many to a process: they speak the whole protocol, and tasks end by the clock alone."""
 
 from roadhead.local.fault_windows import FaultWindow
-from roadhead.local.processes import Ground
-from roadhead.local.server import Server
-from roadhead.local.worker import Worker
+from roadhead.local.processes import ProcessWorld
+from roadhead.local.server import EmulatedServer
+from roadhead.local.worker import EmulatedWorker
 from roadhead.scale.layout import Layout
 from roadhead.scale.traffic import CountedNet, Traffic
 from roadhead.scale.workload import Workload
@@ -33,7 +33,7 @@
             self._file.flush()
 
 
-class HollowGround(Ground):
+class HollowWorld(ProcessWorld):
     """The world of the hollow workers of one process."""
 
     def __init__(self, directory, number):
@@ -66,7 +66,7 @@
         self.log.add("=", task, "")
 
 
-class HollowWorker(Worker):
+class HollowWorker(EmulatedWorker):
     """A worker that sleeps until its lease ends in place of looking every moment, and that can be ended."""
 
     def __init__(self, world, kind, order):
@@ -104,7 +104,7 @@
         self.changed()
 
 
-class HostControl(Server):
+class HostControl(EmulatedServer):
     """Takes the cloud's orders for the workers of this process, and tells what they have cost."""
 
     def __init__(self, ground, number):
@@ -160,6 +160,6 @@
 
 def main(directory, number):
     """A process of hollow workers."""
-    ground = HollowGround(directory, int(number))
+    ground = HollowWorld(directory, int(number))
     HostControl(ground, int(number))
     ground.loop.run()
--- a/roadhead/scale/layout.py
+++ b/roadhead/scale/layout.py
@@ -50,7 +50,7 @@
 
 
 class Layout:
-    """The directory of a run. `document`: what `local.processes.Ground` reads, and addresses more."""
+    """The directory of a run. `document`: what `local.processes.ProcessWorld` reads, and addresses more."""
 
     def __init__(self, directory):
         self.directory = Path(directory)
--- a/roadhead/scale/plan.py
+++ b/roadhead/scale/plan.py
@@ -31,11 +31,11 @@
         self.faults = faults
 
 
-class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class PlanTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A table of the file; a key that it does not know is a fault."""
 
 
-class ClusterSize(Table, frozen=True):
+class ClusterSize(PlanTable, frozen=True):
     """How many of what. `hosts`: processes over which the workers are spread."""
 
     controllers: int = 3
@@ -45,7 +45,7 @@
     cpus_per_worker: float = 8.0
 
 
-class Timing(Table, frozen=True):
+class Timing(PlanTable, frozen=True):
     """The platform's times, in seconds; `fetch_s` is how long a worker fetches an image."""
 
     report_s: float = 2.5
@@ -56,7 +56,7 @@
     fetch_s: float = 0.2
 
 
-class StateLimits(Table, frozen=True):
+class StateLimits(PlanTable, frozen=True):
     """Limits of the emulated state service, as the protocol names them."""
 
     rps: float = 200.0
@@ -65,7 +65,7 @@
     txn_ops: int = 16
 
 
-class Teams(Table, frozen=True):
+class Teams(PlanTable, frozen=True):
     """`count` teams with the same limit in CPUs each, 0 for none, divided into `partitions` among the
     controllers."""
 
@@ -74,7 +74,7 @@
     partitions: int = 1
 
 
-class JobClass(Table, frozen=True):
+class JobClass(PlanTable, frozen=True):
     """Jobs of one kind, arriving at random times at a steady rate."""
 
     name: str
@@ -86,7 +86,7 @@
     cancelled: float = 0.0  # share of the jobs that their users call off while they run
 
 
-class Event(Table, frozen=True):
+class Event(PlanTable, frozen=True):
     """A failure `at_s` after the load begins. What it takes of `count`, `for_s` and `zone` is its kind's."""
 
     at_s: float
@@ -96,7 +96,7 @@
     zone: int = 0
 
 
-class Plan(Table, frozen=True):
+class Plan(PlanTable, frozen=True):
     """A scale run. The load begins `settle_s` after all controllers are ready, and lasts `warm_s` +
     `measured_s`; then users wait, for `drain_s` at the most."""
 
--- a/roadhead/scale/services.py
+++ b/roadhead/scale/services.py
@@ -4,14 +4,14 @@
 
 import cbor2
 
-from roadhead.local.cloud_api import CloudApi
-from roadhead.local.processes import Ground
-from roadhead.local.state_service import StateService
+from roadhead.local.cloud_api import CloudEmulator
+from roadhead.local.processes import ProcessWorld
+from roadhead.local.state_service import StateServiceEmulator
 from roadhead.runtime.net import Net
 from roadhead.scale.hollow import CPUS_TYPE
 from roadhead.scale.layout import Layout, worker_address, zone_name
 from roadhead.scale.traffic import CountedNet, Traffic
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 ORDER_S = 10.0  # a process of workers carries out an order in that time
 RAM_A_CPU = 4.0
@@ -19,7 +19,7 @@
 TOO_MANY = 429  # HTTP status: above a rate
 
 
-class ScaleGround(Ground):
+class ScaleWorld(ProcessWorld):
     """The world of a service's process."""
 
     def __init__(self, directory):
@@ -46,7 +46,7 @@
     return "lease" if path == "/leases" else f"{method.lower()} lease"
 
 
-class ScaleState(StateService):
+class ScaleState(StateServiceEmulator):
     """Counts requests by kind. `/scale/outage` with `on`: all are refused, or served again."""
 
     def __init__(self, ground):
@@ -115,7 +115,7 @@
         self._cloud.ended.append(self)
 
 
-class ScaleCloud(CloudApi):
+class ScaleCloud(CloudEmulator):
     """Rents hollow workers. All that the plan asks for are up when the controllers start."""
 
     def __init__(self, ground):
@@ -215,12 +215,12 @@
             try:
                 await client.request("POST", path, body, ORDER_S)
                 return
-            except NoAnswer:
+            except NoResponseError:
                 await self.loop.sleep(0.1)
 
 
 def main(part, directory):
     """The process of the state service or of the cloud."""
-    ground = ScaleGround(directory)
+    ground = ScaleWorld(directory)
     (ScaleState if part == "state" else ScaleCloud)(ground)
     ground.loop.run()
--- a/tests/enumerated.py
+++ b/tests/enumerated.py
@@ -101,7 +101,9 @@
     """(the case, rules broken, jobs not ended, tasks killed, tasks given back)."""
     which, text = case
     world = World(text).run()
-    open_jobs = sum(user.accepted and user.told not in ("done", "cancelled") for user in world.users.values())
+    open_jobs = sum(
+        user.accepted and user.last_state not in ("done", "cancelled") for user in world.users.values()
+    )
     return which, world.check(), open_jobs, world.killed, world.given_back
 
 
@@ -124,7 +126,7 @@
     """(the case, rules broken, seconds for which a cancelled task was there, tasks killed)."""
     which, text = case
     world = World(text).run()
-    return which, len(world.broken), world.longest_gone, world.killed
+    return which, len(world.violations), world.longest_gone, world.killed
 
 
 def table_of_first(jobs):
--- a/tests/fault_combinations.py
+++ b/tests/fault_combinations.py
@@ -162,7 +162,9 @@
 def played(combination):
     """Plays one; what is expected of every job is that it ends."""
     world = World(combination.text).run()
-    open_jobs = sum(user.accepted and user.told not in ("done", "cancelled") for user in world.users.values())
+    open_jobs = sum(
+        user.accepted and user.last_state not in ("done", "cancelled") for user in world.users.values()
+    )
     return Outcome(combination, world.check(), open_jobs)
 
 
--- a/tests/term_history.py
+++ b/tests/term_history.py
@@ -1,7 +1,7 @@
 """What must hold of all terms and formats that were in force: incarnations, tokens, creations, the gate."""
 
 from roadhead.jobs.job import KEY, NOBODY
-from roadhead.membership.gate import BEFORE, GATE
+from roadhead.membership.format_gate import FIRST_FORMAT, GATE
 from roadhead.membership.member import TERM
 from roadhead.membership.term import Term
 
@@ -16,7 +16,7 @@
         self._tokens = {}  # (share, token) -> (home, its incarnation)
         self._newest = {}  # share -> token
         self._term = Term()
-        self._format = BEFORE
+        self._format = FIRST_FORMAT
         known_jobs = set()
         for event in world.state.log:
             key = event.get("put", "")
@@ -36,15 +36,17 @@
             if self._incarnations.setdefault(incarnation, (label, nonce)) != (label, nonce):
                 self.faults.append(f"incarnation {incarnation} is given twice")
         self._term = term
-        if term.shares is None:
+        if term.shard_map is None:
             return
-        for share, (home, token) in enumerate(zip(term.shares.homes, term.shares.tokens, strict=True)):
+        for shard, (home, token) in enumerate(
+            zip(term.shard_map.leaders, term.shard_map.tokens, strict=True)
+        ):
             holder = (home, term.incarnation(home))
-            if self._tokens.setdefault((share, token), holder) != holder:
-                self.faults.append(f"token {token} of share {share} is given twice")
-            if token < self._newest.get(share, 0):
-                self.faults.append(f"the token of share {share} falls to {token}")
-            self._newest[share] = token
+            if self._tokens.setdefault((shard, token), holder) != holder:
+                self.faults.append(f"token {token} of share {shard} is given twice")
+            if token < self._newest.get(shard, 0):
+                self.faults.append(f"the token of share {shard} falls to {token}")
+            self._newest[shard] = token
 
     def _raise_format(self, record):
         if record["format"] < self._format:
--- a/tests/write_kinds.py
+++ b/tests/write_kinds.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from roadhead.jobs.job import KEY, SHELF
-from roadhead.membership.gate import GATE
+from roadhead.jobs.job import ARCHIVE, KEY
+from roadhead.membership.format_gate import GATE
 from roadhead.membership.member import CANCEL, MEMBER, TENANT, TERM
-from roadhead.pipelines.parts import PARTS
+from roadhead.pipelines.upstream_parts import PARTS
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
         """Ids of open jobs that are done by this write, wherever their final records are put."""
         return {
             key[len(prefix) :]
-            for prefix in (KEY, SHELF)
+            for prefix in (KEY, ARCHIVE)
             for key, new in self.puts_under(prefix)
             if new["s"] == "done" and (self.stored(KEY + key[len(prefix) :]) or {}).get("s") == "open"
         }
@@ -61,7 +61,7 @@
     "adoption": lambda w: any(old["o"] != new["o"] for old, new in w.replaced()),
     "release": lambda w: any("rel" in new and "rel" not in old for old, new in w.replaced()),
     "mark dropped": lambda w: w.drops_under(CANCEL),
-    "archive": lambda w: len(w.puts_under(SHELF)) > len(w.ended()),
+    "archive": lambda w: len(w.puts_under(ARCHIVE)) > len(w.ended()),
     "join": lambda w: TERM in w.puts and bool(w.puts_under(MEMBER)),
     "drop": lambda w: TERM in w.puts and any(key.startswith(MEMBER) for key in w.conditions),
     "leave": lambda w: TERM in w.puts and w.drops_under(MEMBER),
@@ -74,5 +74,5 @@
     "parts": lambda w: bool(w.puts_under(PARTS)),
     "parts collected": lambda w: w.drops_under(PARTS),
     "tenant": lambda w: bool(w.puts_under(TENANT)),
-    "tenant removed": lambda w: bool(w.drops) and not w.puts and w.drops_under((KEY, SHELF)),
+    "tenant removed": lambda w: bool(w.drops) and not w.puts and w.drops_under((KEY, ARCHIVE)),
 }
