--- a/roadhead/local/cloud_api.py
+++ b/roadhead/local/cloud_api.py
@@ -11,7 +11,7 @@
         super().__init__(world, address.rpartition(":")[0], address)
         self.machine_types = machine_types
         self.capacity = capacity
-        self.rented = {}  # name -> Worker
+        self.rented = {}  # name -> EmulatedWorker
         self.hires = {}  # idempotency key of a request to rent -> names of the machines
         self.names = 0  # number of machines ever rented
         self.listings = []  # (time, list of machines)
--- a/roadhead/local/cluster.py
+++ b/roadhead/local/cluster.py
@@ -120,7 +120,7 @@
         return ["serve", "--config", str(self.directory / f"{name}.json"), *hosted]
 
     def start(self):
-        """Starts all processes and waits until they are ready. Raises Failed if they aren't in time."""
+        """Starts all processes and waits until they are ready. Raises ClusterError if they aren't in time."""
         (self.directory / "logs").mkdir(exist_ok=True)
         for name in ("state", "cloud", *self.plan["labels"], "gateway"):
             self._start(name)
@@ -190,7 +190,7 @@
         return response.status, json.loads(data)
 
     def _insist(self, *request, headers=(), cbor=False):
-        """Repeats a request until its response is final. Raises Failed after a minute."""
+        """Repeats a request until its response is final. Raises ClusterError after a minute."""
         deadline = time.monotonic() + 60
         while time.monotonic() < deadline:
             status, answer = self._request(*request, headers=headers, cbor=cbor)
@@ -231,7 +231,7 @@
     def submit(self, job, command):
         """Uploads a job's command for the workers, then submits the job.
 
-        Returns the id by which controllers know it. Raises Failed if it is refused.
+        Returns the id by which controllers know it. Raises ClusterError if it is refused.
         """
         job_id = self.job_id(job)
         self._insist(
@@ -268,7 +268,7 @@
 
 
 def read_jobs(path):
-    """Returns [(Submission, command)] of a TOML file with [[job]] tables. Raises Failed if it is invalid."""
+    """Returns [(Submission, command)] of a TOML file with [[job]] tables. Raises ClusterError if invalid."""
     try:
         with open(path, "rb") as file:
             tables = tomllib.load(file).get("job", [])
--- a/roadhead/local/disk_store.py
+++ b/roadhead/local/disk_store.py
@@ -25,7 +25,7 @@
         return data, epoch, leases, last_lease_id
 
     def save(self, epoch, puts, drops=()):
-        """Saves a transaction: `puts` is {key: (value, revision, lease id)}. Raises lmdb.Error."""
+        """Saves a transaction; `puts` is {key: (value, revision, lease id)}. Raises lmdb.Error on failure."""
         with self._env.begin(write=True) as txn:
             for key, entry in puts.items():
                 txn.put(key.encode(), cbor2.dumps(entry), db=self._data)
--- a/roadhead/local/processes.py
+++ b/roadhead/local/processes.py
@@ -86,7 +86,7 @@
 class RealCloud(CloudEmulator):
     """A cloud whose machines are worker processes; it also stores the uploads of the users' jobs."""
 
-    def __init__(self, ground):
+    def __init__(self, world):
         machine_types = [
             {
                 "name": "box",
@@ -101,9 +101,9 @@
                 "paddocks": ["north", "south"],
             }
         ]
-        super().__init__(ground, machine_types, capacity=3, address=ground.plan["cloud"])
+        super().__init__(world, machine_types, capacity=3, address=world.plan["cloud"])
         self.names = int(time.time()) * 1000  # names stay unique across restarts
-        self._uploads = ground.directory / "uploads"
+        self._uploads = world.directory / "uploads"
         self._uploads.mkdir(exist_ok=True)
 
     def new_worker(self, name, number, kind, zone, spot):
@@ -124,18 +124,18 @@
 class Machine:
     """A rented machine, run as a worker process."""
 
-    def __init__(self, ground, name, kind, zone, spot):
+    def __init__(self, world, name, kind, zone, spot):
         self.name, self.kind, self.zone, self.spot = name, kind, zone, spot
-        self.born = ground.sim.time
+        self.born = world.sim.time
         self.tasks = {}  # always empty here: only the worker process knows its tasks
         self.address = free_address()
         self.process = subprocess.Popen(
             [
                 sys.executable,
-                *ground.plan["program"],
+                *world.plan["program"],
                 "local-part",
                 "worker",
-                str(ground.directory),
+                str(world.directory),
                 name,
                 self.address,
                 zone,
@@ -157,14 +157,14 @@
 class RealWorker(EmulatedWorker):
     """Runs each task's command as a process group of its own, with its output in a file."""
 
-    def __init__(self, ground, name, address, zone, spot):
+    def __init__(self, world, name, address, zone, spot):
         kind = {"name": "box", "vcpus": 4, "startupS": 0.05}
-        self._cloud_client = Client(ground.loop, Net(ground.loop), ground.plan["cloud"])
-        self._out = ground.directory / "out"
+        self._cloud_client = Client(world.loop, Net(world.loop), world.plan["cloud"])
+        self._out = world.directory / "out"
         self._out.mkdir(exist_ok=True)
         self._jobs = {}  # job id -> the upload of its user
-        ground.job_of = lambda task: self._jobs.get(task.rpartition("/")[0])
-        super().__init__(ground, name, 0, kind, zone, spot, address)
+        world.job_of = lambda task: self._jobs.get(task.rpartition("/")[0])
+        super().__init__(world, name, 0, kind, zone, spot, address)
 
     def _launch(self, task, attempt):
         if task.rpartition("/")[0] in self._jobs:
@@ -243,12 +243,12 @@
 
 def main(part, directory, *arguments):
     """Runs one emulator until the process is killed."""
-    ground = ProcessWorld(directory)
+    world = ProcessWorld(directory)
     if part == "state":
-        StateServiceEmulator(ground, ground.plan["state"], DiskStore(str(ground.directory / "state")))
+        StateServiceEmulator(world, world.plan["state"], DiskStore(str(world.directory / "state")))
     elif part == "cloud":
-        RealCloud(ground)
+        RealCloud(world)
     else:
         name, address, zone, spot = arguments
-        RealWorker(ground, name, address, zone, spot == "1")
-    ground.loop.run()
+        RealWorker(world, name, address, zone, spot == "1")
+    world.loop.run()
--- a/roadhead/local/state_service.py
+++ b/roadhead/local/state_service.py
@@ -15,13 +15,13 @@
 class StateServiceEmulator(EmulatedServer):
     """Serves the state service's HTTP API.
 
-    `keeper` saves every change to disk before the response; without one, no data outlives the process.
+    `store` saves every change to disk before the response; without one, no data outlives the process.
     """
 
-    def __init__(self, world, address="10.2.0.1:2379", keeper=None):
+    def __init__(self, world, address="10.2.0.1:2379", store=None):
         super().__init__(world, address.rpartition(":")[0], address)
-        self.keeper = keeper
-        data, self.epoch, leases, self.last_lease_id = keeper.load() if keeper else ({}, 0, {}, 0)
+        self.store = store
+        data, self.epoch, leases, self.last_lease_id = store.load() if store else ({}, 0, {}, 0)
         self.data = data  # key -> (value, revision, id of its lease or None)
         self.log = []
         self.compacted_epoch = self.epoch  # changes up to this revision are no longer kept
@@ -47,16 +47,16 @@
 
     def _end_lease(self, lease_id):
         del self.leases[lease_id]
-        if self.keeper:
-            self.keeper.lease(lease_id, None, self.last_lease_id)
+        if self.store:
+            self.store.lease(lease_id, None, self.last_lease_id)
         keys = [key for key, (_, _, owner) in self.data.items() if owner == lease_id]
         if keys:
             self.epoch += 1
             for key in keys:
                 del self.data[key]
                 self.log.append({"drop": key, "stamp": self.epoch})
-            if self.keeper:
-                self.keeper.save(self.epoch, {}, keys)
+            if self.store:
+                self.store.save(self.epoch, {}, keys)
             self._wake_watches()
 
     def _wake_watches(self):
@@ -104,8 +104,8 @@
             self.last_lease_id += 1
             life_s = body["lifeMs"] / 1000
             self.leases[self.last_lease_id] = [life_s, self.sim.time + life_s]
-            if self.keeper:
-                self.keeper.lease(self.last_lease_id, life_s, self.last_lease_id)
+            if self.store:
+                self.store.lease(self.last_lease_id, life_s, self.last_lease_id)
             return 200, {"permit": self.last_lease_id}
         if path.startswith("/leases/"):
             lease_id = int(path.split("/")[2])
@@ -186,8 +186,8 @@
                 elif self.data.pop(write["drop"], None) is not None:
                     self.log.append({"drop": write["drop"], "stamp": self.epoch})
             self.world.state_changed(body["writes"])
-            if self.keeper:
-                self.keeper.save(
+            if self.store:
+                self.store.save(
                     self.epoch,
                     {w["put"]: self.data[w["put"]] for w in body["writes"] if "put" in w},
                     [w["drop"] for w in body["writes"] if "drop" in w],
--- a/roadhead/local/world.py
+++ b/roadhead/local/world.py
@@ -84,7 +84,7 @@
         self.killed = 0  # tasks killed because their worker's lease expired
         self.given_back = 0  # tasks lost because their machine was released to the cloud
         self.jobs = {}  # job id -> job as the scenario describes it
-        self.users = {}  # job id -> User
+        self.users = {}  # job id -> EmulatedUser
         self.refusals = {}  # job id -> status with which its submission was refused
         self.storms = []  # PollStorm of each verb `storm`
         self.fault_windows = FaultWindows()
