--- a/roadhead/local/processes.py
+++ b/roadhead/local/processes.py
@@ -1,4 +1,4 @@
-"""The emulators as processes on loopback: state service, cloud with uploads, workers that run commands.
+"""Runs the emulators as processes on loopback: state service, cloud with uploads, workers that run commands.
 
 python3 run.py local-part state|cloud|worker DIR [ARGUMENTS]
 """
@@ -25,14 +25,16 @@
 from roadhead.runtime.net import READ, Net
 from roadhead.wire.http import Client, NoResponseError
 
+PR_SET_PDEATHSIG = 1  # from <linux/prctl.h>
+
 
 def die_with_parent():
-    """In a child before it runs: the kernel ends it with its parent, however that ends."""
-    ctypes.CDLL(None).prctl(1, signal.SIGKILL)
+    """Makes the kernel kill this process when its parent ends; called in a child before it executes."""
+    ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class Clock:
-    """Stands where the simulation does in virtual time."""
+    """Provides the time and random numbers of a simulation, on the real clock."""
 
     def __init__(self, loop):
         self._loop = loop
@@ -44,7 +46,7 @@
 
 
 class ProcessWorld:
-    """What the emulators ask of their world, on the real loop and real sockets."""
+    """Provides to the emulators what a `World` does, on the real event loop and real sockets."""
 
     def __init__(self, directory):
         self.directory = Path(directory)
@@ -60,30 +62,32 @@
         self.completed, self.gangs = set(), {}
 
     def host_loop(self, _host):
+        """Returns the process's event loop."""
         return self.loop
 
     def host(self, _host, loop):
+        """Returns a real network interface."""
         return Net(loop)
 
     def kill(self, _host):
-        pass
+        """Does nothing: the cloud emulator kills the process."""
 
     def on_machine(self, task, worker):
-        pass
+        """Does nothing: only the simulation checks what runs."""
 
     off_machine = on_machine
 
     def task_done(self, task):
-        pass
+        """Does nothing: only the simulation checks what has completed."""
 
     state_changed = task_done
 
 
 class RealCloud(CloudEmulator):
-    """Its machines are worker processes; it also takes what users upload of their jobs."""
+    """A cloud whose machines are worker processes; it also stores the uploads of the users' jobs."""
 
-    def __init__(self, ground):
-        kinds = [
+    def __init__(self, world):
+        machine_types = [
             {
                 "name": "box",
                 "vcpus": 4,
@@ -97,9 +101,9 @@
                 "paddocks": ["north", "south"],
             }
         ]
-        super().__init__(ground, kinds, capacity=3, address=ground.plan["cloud"])
-        self.names = int(time.time()) * 1000  # names are never given twice, whatever ended
-        self._uploads = ground.directory / "uploads"
+        super().__init__(world, machine_types, capacity=3, address=world.plan["cloud"])
+        self.names = int(time.time()) * 1000  # names stay unique across restarts
+        self._uploads = world.directory / "uploads"
         self._uploads.mkdir(exist_ok=True)
 
     def new_worker(self, name, number, kind, zone, spot):
@@ -118,20 +122,20 @@
 
 
 class Machine:
-    """A rented machine as the cloud sees it: a process."""
+    """A rented machine, run as a worker process."""
 
-    def __init__(self, ground, name, kind, zone, spot):
+    def __init__(self, world, name, kind, zone, spot):
         self.name, self.kind, self.zone, self.spot = name, kind, zone, spot
-        self.born = ground.sim.time
-        self.tasks = {}  # known to its worker alone
+        self.born = world.sim.time
+        self.tasks = {}  # always empty here: only the worker process knows its tasks
         self.address = free_address()
         self.process = subprocess.Popen(
             [
                 sys.executable,
-                *ground.plan["program"],
+                *world.plan["program"],
                 "local-part",
                 "worker",
-                str(ground.directory),
+                str(world.directory),
                 name,
                 self.address,
                 zone,
@@ -141,86 +145,88 @@
         )
 
     def listed(self):
+        """Returns the machine's status in the cloud's list."""
         return "running" if self.process.poll() is None else "failed"
 
     def end(self):
+        """Kills the process."""
         self.process.kill()
         self.process.wait()
 
 
 class RealWorker(EmulatedWorker):
-    """Runs each task's command as a process group of its own, its output into a file."""
+    """Runs each task's command as a process group of its own, with its output in a file."""
 
-    def __init__(self, ground, name, address, zone, spot):
+    def __init__(self, world, name, address, zone, spot):
         kind = {"name": "box", "vcpus": 4, "startupS": 0.05}
-        self._net_of_cloud = Client(ground.loop, Net(ground.loop), ground.plan["cloud"])
-        self._out = ground.directory / "out"
+        self._cloud_client = Client(world.loop, Net(world.loop), world.plan["cloud"])
+        self._out = world.directory / "out"
         self._out.mkdir(exist_ok=True)
-        self._jobs = {}  # job -> what its user uploaded
-        ground.job_of = lambda task: self._jobs.get(task.rpartition("/")[0])
-        super().__init__(ground, name, 0, kind, zone, spot, address)
+        self._jobs = {}  # job id -> the upload of its user
+        world.job_of = lambda task: self._jobs.get(task.rpartition("/")[0])
+        super().__init__(world, name, 0, kind, zone, spot, address)
 
     def _launch(self, task, attempt):
         if task.rpartition("/")[0] in self._jobs:
             super()._launch(task, attempt)
         else:
-            self.loop.spawn(self._fetch(task, attempt), "fetch")
+            self.loop.spawn(self._fetch_upload(task, attempt), "fetch")
 
-    async def _fetch(self, task, attempt):
+    async def _fetch_upload(self, task, attempt):
         job, session = task.rpartition("/")[0], self.session
         try:
-            status, data, _ = await self._net_of_cloud.request("GET", f"/uploads/{job}")
+            status, data, _ = await self._cloud_client.request("GET", f"/uploads/{job}")
         except NoResponseError:
-            return  # the launch is repeated until a report shows it
+            return  # the controller repeats the launch until a report shows the task
         if status == 200:
             self._jobs[job] = cbor2.loads(data)
         if session == self.session and (task, attempt) not in self.tasks:
             super()._launch(task, attempt)
 
-    def _start(self, item):
-        item.status = "running"
-        job, _, index = item.task.rpartition("/")
-        described = self._jobs[job]
+    def _start(self, task_attempt):
+        task_attempt.status = "running"
+        job, _, index = task_attempt.task.rpartition("/")
+        upload = self._jobs[job]
         with open(self._out / f"{job}.{index}.log", "wb") as file:
-            item.process = subprocess.Popen(
-                described["command"],
+            task_attempt.process = subprocess.Popen(
+                upload["command"],
                 stdin=subprocess.DEVNULL,
                 stdout=file,
                 stderr=subprocess.STDOUT,
                 start_new_session=True,
                 preexec_fn=die_with_parent,
-                env={**os.environ, "ROADHEAD_JOB": described["name"], "ROADHEAD_TASK": index},
+                env={**os.environ, "ROADHEAD_JOB": upload["name"], "ROADHEAD_TASK": index},
             )
-        handle = os.pidfd_open(item.process.pid)
+        handle = os.pidfd_open(task_attempt.process.pid)
 
-        def ended(_mask):
+        def on_exit(_mask):
             self.loop.selector.unregister(handle)
             os.close(handle)
-            code = item.process.wait()
-            if item.status == "saving":
-                item.saved = True
-                self._exit(item, "stopped")
-            elif item.status == "running":
+            code = task_attempt.process.wait()
+            if task_attempt.status == "saving":
+                task_attempt.saved = True
+                self._exit(task_attempt, "stopped")
+            elif task_attempt.status == "running":
                 with open(self._out / f"{job}.{index}.exits", "a") as file:
                     print(code, file=file)
-                self._exit(item, "error" if code else "done")
+                self._exit(task_attempt, "error" if code else "done")
 
-        self.loop.selector.register(handle, READ, ended)
+        self.loop.selector.register(handle, READ, on_exit)
         self.changed()
 
     def execute(self, orders):
         super().execute(orders)
-        for item in self.tasks.values():
-            if item.status == "saving" and not item.saved:
-                self._signal(item, signal.SIGTERM)
+        for task_attempt in self.tasks.values():
+            if task_attempt.status == "saving" and not task_attempt.saved:
+                self._signal(task_attempt, signal.SIGTERM)
 
-    def _leave(self, item):
-        super()._leave(item)
-        self._signal(item, signal.SIGKILL)
+    def _leave(self, task_attempt):
+        super()._leave(task_attempt)
+        self._signal(task_attempt, signal.SIGKILL)
 
     @staticmethod
-    def _signal(item, number):
-        process = getattr(item, "process", None)
+    def _signal(task_attempt, number):
+        process = getattr(task_attempt, "process", None)
         if process is not None and process.returncode is None:
             try:
                 os.killpg(process.pid, number)
@@ -229,19 +235,20 @@
 
 
 def free_address():
-    """A loopback address that nobody listens on."""
+    """Returns a loopback address with a port that is not in use."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
 def main(part, directory, *arguments):
-    ground = ProcessWorld(directory)
+    """Runs one emulator until the process is killed."""
+    world = ProcessWorld(directory)
     if part == "state":
-        StateServiceEmulator(ground, ground.plan["state"], DiskStore(str(ground.directory / "state")))
+        StateServiceEmulator(world, world.plan["state"], DiskStore(str(world.directory / "state")))
     elif part == "cloud":
-        RealCloud(ground)
+        RealCloud(world)
     else:
         name, address, zone, spot = arguments
-        RealWorker(ground, name, address, zone, spot == "1")
-    ground.loop.run()
+        RealWorker(world, name, address, zone, spot == "1")
+    world.loop.run()
--- a/roadhead/local/user.py
+++ b/roadhead/local/user.py
@@ -1,4 +1,4 @@
-"""An emulated user: submits a job, asks for it until it is over, and checks what it is told."""
+"""Emulates a user: it submits a job, polls it until it has ended, and checks every response."""
 
 from typing import NamedTuple
 
@@ -8,17 +8,18 @@
 from roadhead.runtime.loop import Timeout
 from roadhead.wire.http import Client, NoResponseError
 
-UNTOLD = ("runS", "apartS", "faulty")  # what a scenario says of a job and its user does not know
+SIMULATION_FIELDS = ("runS", "apartS", "faulty")  # fields for the emulated worker, not part of a submission
 
 
-def _kind_of(method, path):
+def _question_of(method, path):
+    """Returns the kind of a request."""
     if method == "GET":
         return RequestKind.POLL
     return RequestKind.CANCEL if path.endswith("/cancel") else RequestKind.SUBMIT
 
 
 class Reply(NamedTuple):
-    """`status` is 0 if no answer came."""
+    """A response to a user's request; `status` is 0 if none came."""
 
     status: int
     body: dict | None
@@ -26,7 +27,7 @@
 
 
 class EmulatedUser:
-    """Submits a job and polls it until it is over, as the protocol says users do."""
+    """Submits a job and polls it until it has ended, as the protocol requires of users."""
 
     def __init__(self, world, job):
         self.world = world
@@ -34,15 +35,15 @@
         self.job = job
         self.id = job["id"]
         self.accepted = False
-        self.last_state = None
-        self.told_at = 0.0
+        self.last_state = None  # the job's state in the latest response that counts
+        self.told_at = 0.0  # when that state was first seen
         self.gave_up = False
         self.asked_to_cancel = False
-        self.answered_at = 0.0  # the last question about an accepted job
-        self.told_cancelled_at = None
+        self.answered_at = 0.0  # time of the last successful response
+        self.cancelled_seen_at = None  # when the job was first seen cancelled
 
     async def _ask(self, method, path, body, timeout, via=None):
-        """A question and its answer, as a Reply, which the history of all answers keeps."""
+        """Sends a request, adds the response to the history of all responses, and returns it as a Reply."""
         world, asked_at = self.world, self.sim.time
         job_id = body["id"] if body is not None else path.split("/")[3]
         if body is not None:
@@ -52,7 +53,7 @@
         if status in REFUSED and self.may_be_removed:
             return Reply(status, answer, asked_at)
         state = answer.get("status") if isinstance(answer, dict) else None
-        question = _kind_of(method, path)
+        question = _question_of(method, path)
         for fault in world.history.add(
             Answer(job_id, question, front or "none", asked_at, self.sim.time, status, state)
         ):
@@ -60,7 +61,7 @@
         return Reply(status, answer, asked_at)
 
     def _front(self, via):
-        """The address to ask at: any that listens, or that of one controller; None if there is none."""
+        """Returns the address of a random live controller, or of controller `via`; None if it is down."""
         world = self.world
         fronts = [front for front in world.fronts_for(self.job) if front in world.network.listeners]
         if via is not None:
@@ -68,7 +69,7 @@
         return self.sim.random.choice(fronts) if fronts else None
 
     async def _send(self, method, path, body, timeout, front):
-        """(status, answer) of one front; (0, None) if there is no answer."""
+        """Returns (status, body) of a controller's response; (0, None) if there is none."""
         if front is None:
             return 0, None
         client = Client(self.world.user_loop, self.world.user_net, front, 0)
@@ -80,7 +81,7 @@
         return status, (cbor2.loads(data) if data else None)
 
     def _hear(self, reply):
-        """Learns from an answer of 200 or 201, and checks it against what really runs."""
+        """Takes the job's state from a response of 200 or 201, and checks it against what really runs."""
         world = self.world
         status, answer, asked_at = reply
         if status not in (200, 201):
@@ -88,58 +89,66 @@
         self.answered_at = self.sim.time
         state = answer["status"]
         if self.last_state in FINAL and state not in FINAL:
-            return  # an older answer to a question that overlapped, or a fault that the history has noted
+            return  # an older response to an overlapping request, or a violation reported by the history
         if (
             state == "cancelled"
             and not self.asked_to_cancel
             and not any(user.asked_to_cancel for user in world.upstream_users(self.id))
         ):
-            world.record_violation("went_back", f"{self.id}: nobody cancelled it")
+            world.record_violation(
+                "went_back", f"{self.id} is reported as cancelled, but nobody cancelled it"
+            )
         if state == "done" and not world.all_completed(self.job):
-            world.record_violation("not_done", self.id)
-        if state == "cancelled" and self.told_cancelled_at is None:
-            self.told_cancelled_at = self.sim.time
+            world.record_violation(
+                "not_done", f"{self.id} is reported as done before all its tasks have completed"
+            )
+        if state == "cancelled" and self.cancelled_seen_at is None:
+            self.cancelled_seen_at = self.sim.time
             world.cancelled_at[self.id] = self.sim.time
         if state in ("pending", "running") and any(
-            asked_at > told + world.settings["workers"]["cancel_s"] for told in world.cancelled_above(self.id)
+            asked_at > cancelled_at + world.settings["workers"]["cancel_s"]
+            for cancelled_at in world.cancelled_above(self.id)
         ):
-            world.record_violation("orphaned", f"{self.id} is called {state}")
-        learned = state != self.last_state and (state in ("done", "cancelled") or self.last_state is None)
+            world.record_violation(
+                "orphaned", f"{self.id} is reported as {state}, long after an upstream job was cancelled"
+            )
+        is_new = state != self.last_state and (state in ("done", "cancelled") or self.last_state is None)
         if self.last_state != state:
             self.told_at = self.sim.time
         self.last_state = state
-        if learned:
+        if is_new:
             world.injector.user_learned(self)
 
     @property
     def may_be_removed(self):
-        """Whether its job may be gone for good, as those of a removed tenant are."""
+        """Returns whether the job may have been deleted, as the jobs of a removed tenant are."""
         return False
 
     def submission(self):
-        """Its job as submitted."""
-        return {k: v for k, v in self.job.items() if k not in UNTOLD}
+        """Returns the job as submitted."""
+        return {name: value for name, value in self.job.items() if name not in SIMULATION_FIELDS}
 
     async def run(self):
+        """Submits the job, polls it until it has ended, and checks that the end stays known."""
         loop = self.world.user_loop
-        public = self.submission()
-        # The jobs of a pipeline are submitted each as soon as those that it needs are accepted.
+        submission = self.submission()
+        # A job of a pipeline is submitted as soon as its upstream jobs are accepted.
         while not all(
             self.world.users[name].accepted
-            for name in public.get("upstream") or ()
+            for name in submission.get("upstream") or ()
             if name in self.world.users and name != self.id
         ):
             await loop.sleep(0.05)
-        begun = self.sim.time
+        started_at = self.sim.time
         while not self.accepted:
-            reply = await self._ask("POST", "/v1/jobs", public, 5.0)
+            reply = await self._ask("POST", "/v1/jobs", submission, 5.0)
             if reply.status in (200, 201):
                 self.accepted = True
                 self._hear(reply)
             elif reply.status in (400, 422):
                 self.world.refusals[self.id] = reply.status
                 return
-            elif self.gave_up or self.sim.time - begun > 60:
+            elif self.gave_up or self.sim.time - started_at > 60:
                 self.gave_up = True
                 return
             else:
@@ -147,31 +156,32 @@
         while self.last_state not in ("done", "cancelled"):
             await loop.sleep(4.0 + 2 * self.sim.random.random())
             self._hear(await self._ask("GET", f"/v1/jobs/{self.id}", None, 2.0))
-        # Long after the end, any controller must say the same.
+        # Long after its end, every controller must still report the same state.
         for _ in range(4):
             await loop.sleep(7.0)
             self._hear(await self._ask("GET", f"/v1/jobs/{self.id}", None, 2.0))
 
     async def submit_again(self):
-        """A retry long after the job was accepted, until it is answered."""
-        public = self.submission()
+        """Repeats the submission of an accepted job until it is answered."""
+        submission = self.submission()
         while not self.accepted:
             await self.world.user_loop.sleep(1.0)
         for _ in range(60):
-            reply = await self._ask("POST", "/v1/jobs", public, 5.0)
+            reply = await self._ask("POST", "/v1/jobs", submission, 5.0)
             if reply.status in (200, 201):
                 self._hear(reply)
                 return
             await self.world.user_loop.sleep(1.0)
 
     async def poll(self, via=None):
-        """One question more, of the controller named."""
+        """Polls once more, at controller `via` if given."""
         self._hear(await self._ask("GET", f"/v1/jobs/{self.id}", None, 2.0, via))
 
     async def cancel(self, via=None):
+        """Cancels the job, retrying for up to a minute."""
         self.asked_to_cancel = True
-        begun = self.sim.time
-        while self.sim.time - begun < 60:
+        started_at = self.sim.time
+        while self.sim.time - started_at < 60:
             reply = await self._ask("POST", f"/v1/jobs/{self.id}/cancel", None, 5.0, via)
             if reply.status == 200:
                 self._hear(reply)
