--- a/roadhead/scale/__init__.py
+++ b/roadhead/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale runs: a real cluster of processes on one machine, with workers that only pretend to run tasks."""
+"""Scale runs: a cluster of real processes on one machine, whose hollow workers only simulate tasks."""
--- a/roadhead/scale/analysis.py
+++ b/roadhead/scale/analysis.py
@@ -1,19 +1,19 @@
-"""What came of a scale run: the rules, checked from what tasks did and users saw, and latencies."""
+"""Analysis of a scale run: checks the rules against task events and answers to users; computes latencies."""
 
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 
 from hdrh.histogram import HdrHistogram
 
-FAULTS_KEPT = 20
-LEAST_MS, MOST_MS, DIGITS = 1, 3_600_000, 3
-FIELDS = 4  # of a line
-ORDER = {"-": 0, "=": 1, "+": 2}  # of events of the same moment
+MAX_FAULTS = 20
+MIN_DURATION_MS, MAX_DURATION_MS, SIGNIFICANT_DIGITS = 1, 3_600_000, 3
+EVENT_FIELDS = 4  # per line of an event log
+SIGN_ORDER = {"-": 0, "=": 1, "+": 2}  # sort order of events with equal times
 
 
 @dataclass(frozen=True, slots=True)
 class TaskEvent:
-    """A line of an event log; `sign` is `+`, `-` or `=`."""
+    """A line of an event log. `sign`: `+` task on the worker, `-` gone from it, `=` complete."""
 
     at: float
     sign: str
@@ -22,35 +22,35 @@
 
     @property
     def job_id(self):
-        """The job of the task."""
+        """The id of the task's job."""
         return self.task.rpartition("/")[0]
 
 
 def read_events(paths):
-    """All TaskEvents of the event logs, in order of time."""
+    """Returns all TaskEvents of the event logs, ordered by time."""
     events = []
     for path in paths:
         for line in path.read_text().splitlines():
-            words = line.split(" ")
-            if len(words) == FIELDS:  # the last line may be cut off
-                events.append(TaskEvent(float(words[0]), *words[1:]))
-    return sorted(events, key=lambda event: (event.at, ORDER[event.sign]))
+            fields = line.split(" ")
+            if len(fields) == EVENT_FIELDS:  # the last line may be incomplete
+                events.append(TaskEvent(float(fields[0]), *fields[1:]))
+    return sorted(events, key=lambda event: (event.at, SIGN_ORDER[event.sign]))
 
 
 class Percentiles:
-    """Durations in seconds, kept to a thousandth of their size."""
+    """Records durations in seconds, with a relative precision of 1/1000."""
 
     def __init__(self):
-        self._histogram = HdrHistogram(LEAST_MS, MOST_MS, DIGITS)
+        self._histogram = HdrHistogram(MIN_DURATION_MS, MAX_DURATION_MS, SIGNIFICANT_DIGITS)
         self.count = 0
 
     def add(self, seconds):
-        """Takes a duration."""
-        self._histogram.record_value(min(MOST_MS, max(LEAST_MS, round(1000 * seconds))))
+        """Records a duration."""
+        self._histogram.record_value(min(MAX_DURATION_MS, max(MIN_DURATION_MS, round(1000 * seconds))))
         self.count += 1
 
     def summary(self):
-        """{"count", "p50", "p95", "p99", "max"} in seconds; only the count if there are none."""
+        """Returns {"count", "p50", "p95", "p99", "max"} in seconds; only the count if it is 0."""
         if not self.count:
             return {"count": 0}
         quantiles = {"p50": 50.0, "p95": 95.0, "p99": 99.0, "max": 100.0}
@@ -65,31 +65,34 @@
 
 @dataclass
 class TaskHistory:
-    """What the event logs show. `faults`: broken rules; times are of the machine's steady clock."""
+    """What the event logs show. `faults`: rule violations. Times are seconds of the monotonic clock."""
 
     first_start: dict = field(default_factory=dict)  # task -> time
     done_at: dict = field(default_factory=dict)  # task -> time
-    starts: Counter = field(default_factory=Counter)  # second -> tasks that began to be on a worker
-    running_most: int = 0
+    starts: Counter = field(default_factory=Counter)  # second -> tasks placed on a worker in it
+    max_running: int = 0
     faults: list = field(default_factory=list)
-    left: dict = field(default_factory=lambda: defaultdict(set))  # task -> workers that it is on at the end
+    workers_of: dict = field(default_factory=lambda: defaultdict(set))  # task -> workers it is on at the end
 
-    def fault(self, text):
-        """Notes a broken rule; of many, the first are kept."""
-        if len(self.faults) < FAULTS_KEPT:
+    def add_fault(self, text):
+        """Records a rule violation; only the first MAX_FAULTS are kept."""
+        if len(self.faults) < MAX_FAULTS:
             self.faults.append(text)
 
 
-def follow(events, workload, teams_limit):
-    """The TaskHistory of TaskEvents, with the rules ran_twice and quota. `teams_limit`: CPUs, 0 for none."""
+def follow(events, workload, team_limit):
+    """Returns the TaskHistory of TaskEvents and checks the rules ran_twice and quota.
+
+    `team_limit`: CPU limit of each team, 0 for none.
+    """
     history, running = TaskHistory(), 0
-    used = Counter()  # CPUs by team
+    used = Counter()  # team -> CPUs in use
     for event in events:
         arrival = workload.get(event.job_id)
         if event.sign == "=":
             history.done_at.setdefault(event.task, event.at)
             continue
-        workers = history.left[event.task]
+        workers = history.workers_of[event.task]
         change = 1 if event.sign == "+" else -1
         running += change
         team = arrival.job["crew"]
@@ -98,39 +101,42 @@
             workers.discard(event.worker)
             continue
         if workers:
-            history.fault(f"ran_twice: {event.task} on {event.worker} and {min(workers)}")
-        if teams_limit and used[team] > teams_limit + 1e-6:
-            history.fault(f"quota: {team} uses {used[team]:g} of {teams_limit:g} CPUs")
+            history.add_fault(f"ran_twice: {event.task} on {event.worker} and {min(workers)}")
+        if team_limit and used[team] > team_limit + 1e-6:
+            history.add_fault(f"quota: {team} uses {used[team]:g} of {team_limit:g} CPUs")
         workers.add(event.worker)
         history.first_start.setdefault(event.task, event.at)
         history.starts[int(event.at)] += 1
-        history.running_most = max(history.running_most, running)
+        history.max_running = max(history.max_running, running)
     return history
 
 
 def check_cancelled(events, jobs, cancel_s, history):
-    """The rule ran_cancelled: `jobs` are JobResults; faults go to the history."""
-    ends = {job.job_id: job.cancelled_at + cancel_s for job in jobs if job.cancelled_at is not None}
+    """Checks the rule ran_cancelled: no task runs later than `cancel_s` after its job was cancelled.
+
+    `jobs`: JobResults. Violations are added to `history`.
+    """
+    deadlines = {job.job_id: job.cancelled_at + cancel_s for job in jobs if job.cancelled_at is not None}
     for event in events:
-        if event.sign != "=" and event.at > ends.get(event.job_id, event.at):
-            history.fault(f"ran_cancelled: {event.task} is on {event.worker} after its time")
+        if event.sign != "=" and event.at > deadlines.get(event.job_id, event.at):
+            history.add_fault(f"ran_cancelled: {event.task} is on {event.worker} after its time")
 
 
 def check_done(jobs, history):
-    """The rule not_done: nobody is told that a job is done before all its tasks are."""
+    """Checks the rule not_done: no user is told that a job is done before all its tasks are."""
     for job in jobs:
         if job.state != "done":
             continue
         last = max(history.done_at.get(f"{job.job_id}/{number}", float("inf")) for number in range(job.tasks))
         if last > job.over_at:
-            history.fault(f"not_done: {job.job_id}")
+            history.add_fault(f"not_done: {job.job_id}")
 
 
 def latencies(jobs, history):
-    """{class: {step: Percentiles}}: accepted, first task started, all started, told that it is done."""
-    found = defaultdict(lambda: defaultdict(Percentiles))
+    """Returns {job class: {step: Percentiles}}: accepted, first and all tasks started, told of the end."""
+    by_class = defaultdict(lambda: defaultdict(Percentiles))
     for job in jobs:
-        steps = found[job.job_class]
+        steps = by_class[job.job_class]
         if job.accepted_at is not None:
             steps["accepted"].add(job.accepted_at - job.due_at)
         tasks = [f"{job.job_id}/{number}" for number in range(job.tasks)]
@@ -142,4 +148,4 @@
         if job.state == "done":
             last = max(history.done_at.get(task, job.over_at) for task in tasks)
             steps["told after the end"].add(job.over_at - last)
-    return found
+    return by_class
--- a/roadhead/scale/command.py
+++ b/roadhead/scale/command.py
@@ -1,4 +1,4 @@
-"""The verb `scale`: plays a plan with real processes on this machine, and reports."""
+"""The command `scale`: runs a plan with real processes on this machine and reports the results."""
 
 import platform
 import shutil
@@ -14,46 +14,46 @@
 from roadhead.scale.events import Failures
 from roadhead.scale.layout import Layout
 from roadhead.scale.load import LoadResult
-from roadhead.scale.processes import Processes, StartError, ask
+from roadhead.scale.processes import Processes, StartError, request
 from roadhead.scale.workload import Workload
 
 SAMPLE_S = 0.5
-MEMORY_PART = 0.5  # of the machine's, of all processes together
-WITHIN_S = (1, 2, 5)
+MAX_MEMORY_SHARE = 0.5  # of the machine's memory, for all processes together; above it the run is stopped
+ACCEPTED_WITHIN_S = (1, 2, 5)  # limits for which the share of jobs accepted in time is reported
 
 
 class Sample:
-    """Counts of all processes and emulators at one moment."""
+    """Resource usage of all processes and counters of the emulators at one time."""
 
     def __init__(self, layout, processes):
         document = layout.document
         self.at = time.monotonic()
         self.usage = processes.usage()
-        self.state = ask(document["state"], "GET", "/scale/figures")
-        self.hosts = [ask(address, "GET", "/scale/figures") for address in document["hosts"]]
+        self.state = request(document["state"], "GET", "/scale/figures")
+        self.hosts = [request(address, "GET", "/scale/figures") for address in document["hosts"]]
 
 
 class Run:
-    """One run of a Plan in a directory."""
+    """One run of a Plan in the directory of a Layout."""
 
     def __init__(self, layout):
         self._layout = layout
         self._plan = layout.plan
         self._processes = Processes(layout)
         self._failures = Failures(layout, self._processes)
-        self._resident_most = 0
-        self._largest = {}  # role -> (bytes, files)
-        self._stopped = ""
+        self._max_resident = 0
+        self._largest = {}  # role -> (resident bytes, open files) of its largest process
+        self._stop_reason = ""
         self._samples = []
 
-    def play(self):
-        """Starts everything, waits for the users to end, and returns the Report. Raises StartError."""
+    def execute(self):
+        """Starts all processes, waits until the users' exits and returns the Report. Raises StartError."""
         try:
             self._processes.start()
             time.sleep(self._plan.settle_s)
-            self._processes.begin_load()
+            self._processes.start_users()
             self._watch(time.monotonic())
-            time.sleep(1.5)  # the last lines of the event logs
+            time.sleep(1.5)  # until the workers have flushed their event logs (each FLUSH_S)
             self._processes.dump_decisions(self._layout.document["labels"])
         finally:
             self._processes.stop()
@@ -61,44 +61,44 @@
 
     def _watch(self, began_at):
         plan = self._plan
-        marks = [plan.warm_s, plan.load_s]
-        until = began_at + plan.load_s + plan.drain_s + load.PATIENCE_S
-        while self._processes.running("users") and not self._stopped:
+        sample_times = [plan.warm_s, plan.load_s]
+        deadline = began_at + plan.load_s + plan.drain_s + load.RETRY_FOR_S
+        while self._processes.is_running("users") and not self._stop_reason:
             now_s = time.monotonic() - began_at
-            self._failures.due(now_s)
-            if marks and now_s >= marks[0]:
-                marks.pop(0)
+            self._failures.carry_out_due(now_s)
+            if sample_times and now_s >= sample_times[0]:
+                sample_times.pop(0)
                 self._samples.append(Sample(self._layout, self._processes))
-            self._look_at_memory()
-            if time.monotonic() > until:
-                self._stopped = "the users did not end in time"
+            self._check_memory()
+            if time.monotonic() > deadline:
+                self._stop_reason = "the users did not end in time"
             time.sleep(SAMPLE_S)
 
-    def _look_at_memory(self):
+    def _check_memory(self):
         usage = self._processes.usage()
         resident = sum(used.resident for used in usage.values())
-        self._resident_most = max(self._resident_most, resident)
+        self._max_resident = max(self._max_resident, resident)
         for name, used in usage.items():
             role = self._processes.roles[name]
-            most = self._largest.get(role, (0, 0))
-            self._largest[role] = max(most[0], used.resident), max(most[1], used.files)
-        if resident > MEMORY_PART * total_memory():
-            self._stopped = "more than half of the machine's memory"
+            largest = self._largest.get(role, (0, 0))
+            self._largest[role] = max(largest[0], used.resident), max(largest[1], used.files)
+        if resident > MAX_MEMORY_SHARE * total_memory():
+            self._stop_reason = "more than half of the machine's memory"
 
     def _report(self):
-        found = report.Report(machine_name(), msgspec.to_builtins(self._plan))
-        found.stopped, found.resident_most = self._stopped, self._resident_most
-        found.events = list(self._failures.done)
-        if not self._stopped:
-            self._add_rates(found, *self._samples)
-        result_file = self._layout.directory / load.RESULT
+        figures = report.Report(machine_name(), msgspec.to_builtins(self._plan))
+        figures.stopped, figures.resident_most = self._stop_reason, self._max_resident
+        figures.events = list(self._failures.done)
+        if not self._stop_reason:
+            self._add_rates(figures, *self._samples)
+        result_file = self._layout.directory / load.RESULT_FILE
         if result_file.exists():
             result = msgspec.json.decode(result_file.read_bytes(), type=LoadResult)
-            self._add_jobs(found, result)
-            self._add_tasks(found, result)
-        return found
+            self._add_jobs(figures, result)
+            self._add_tasks(figures, result)
+        return figures
 
-    def _add_rates(self, found, before, after):
+    def _add_rates(self, figures, before, after):
         seconds = after.at - before.at
         by_role = {}
         for name, used in after.usage.items():
@@ -106,7 +106,7 @@
             by_role.setdefault(self._processes.roles[name], []).append(spent_s / seconds)
         for role, cores in by_role.items():
             resident, files = self._largest[role]
-            found.roles[role] = report.RoleFigures(
+            figures.roles[role] = report.RoleFigures(
                 len(cores),
                 sum(cores) / len(cores),
                 max(cores),
@@ -114,41 +114,41 @@
                 files,
             )
         workers = sum(host["workers"] for host in after.hosts) or 1
-        found.worker_cores = sum(by_role["workers"]) / workers
-        found.worker_bytes_per_s = _bytes_between(before.hosts, after.hosts) / seconds / workers
-        found.state_bytes_per_s = _bytes_between([before.state], [after.state]) / seconds
-        found.state_changes_per_s = (after.state["changes"] - before.state["changes"]) / seconds
-        found.state_busy_per_s = sum(_grown(before.state["busy"], after.state["busy"], seconds).values())
-        found.state_requests_per_s = _grown(before.state["requests"], after.state["requests"], seconds)
-
-    def _add_jobs(self, found, result):
+        figures.worker_cores = sum(by_role["workers"]) / workers
+        figures.worker_bytes_per_s = _bytes_between(before.hosts, after.hosts) / seconds / workers
+        figures.state_bytes_per_s = _bytes_between([before.state], [after.state]) / seconds
+        figures.state_changes_per_s = (after.state["changes"] - before.state["changes"]) / seconds
+        figures.state_busy_per_s = sum(_rates_of(before.state["busy"], after.state["busy"], seconds).values())
+        figures.state_requests_per_s = _rates_of(before.state["requests"], after.state["requests"], seconds)
+
+    def _add_jobs(self, figures, result):
         jobs = result.jobs
-        found.jobs = len(Workload(self._plan).arrivals)
+        figures.jobs = len(Workload(self._plan).arrivals)
         waits = [job.accepted_at - job.due_at for job in jobs if job.accepted_at is not None]
-        found.accepted = len(waits)
+        figures.accepted = len(waits)
         if jobs:
-            found.accepted_within_s = {
-                seconds: sum(wait <= seconds for wait in waits) / len(jobs) for seconds in WITHIN_S
+            figures.accepted_within_s = {
+                seconds: sum(wait <= seconds for wait in waits) / len(jobs) for seconds in ACCEPTED_WITHIN_S
             }
-        found.over = sum(job.over_at is not None for job in jobs)
-        found.unended = [job.job_id for job in jobs if job.accepted_at is not None and job.over_at is None]
-        found.answers = dict(result.answers)
-        found.faults += result.faults[: analysis.FAULTS_KEPT]
-        found.user_bytes_per_s = (result.received + result.sent) / (self._plan.load_s + 1e-9)
+        figures.over = sum(job.over_at is not None for job in jobs)
+        figures.unended = [job.job_id for job in jobs if job.accepted_at is not None and job.over_at is None]
+        figures.answers = dict(result.answers)
+        figures.faults += result.faults[: analysis.MAX_FAULTS]
+        figures.user_bytes_per_s = (result.received + result.sent) / (self._plan.load_s + 1e-9)
 
-    def _add_tasks(self, found, result):
+    def _add_tasks(self, figures, result):
         plan = self._plan
         events = analysis.read_events(sorted(self._layout.directory.glob("tasks-*.log")))
         history = analysis.follow(events, Workload(plan), plan.teams.cpus_max)
         analysis.check_cancelled(events, result.jobs, plan.timing.cancel_s, history)
         analysis.check_done(result.jobs, history)
-        found.faults += history.faults
-        found.running_most = history.running_most
-        first = int(result.began_at + plan.warm_s)
-        measured = [history.starts[first + second] for second in range(int(plan.measured_s))]
+        figures.faults += history.faults
+        figures.running_most = history.max_running
+        first_second = int(result.began_at + plan.warm_s)
+        measured = [history.starts[first_second + second] for second in range(int(plan.measured_s))]
         if measured:
-            found.starts_per_s, found.starts_per_s_most = sum(measured) / len(measured), max(measured)
-        found.latencies = {
+            figures.starts_per_s, figures.starts_per_s_most = sum(measured) / len(measured), max(measured)
+        figures.latencies = {
             name: {step: values.summary() for step, values in steps.items()}
             for name, steps in analysis.latencies(result.jobs, history).items()
         }
@@ -161,26 +161,29 @@
     return total(after) - total(before)
 
 
-def _grown(before, after, seconds):
+def _rates_of(before, after, seconds):
     return {kind: (count - before.get(kind, 0)) / seconds for kind, count in after.items()}
 
 
 def total_memory():
-    """Bytes of memory of this machine."""
+    """Returns the memory of this machine in bytes."""
     with open("/proc/meminfo") as file:
         return int(file.readline().split()[1]) * report.KILOBYTE
 
 
 def machine_name():
-    """What this machine is, for the report."""
+    """Returns a description of this machine for the report."""
     return f"{platform.machine()}, Python {platform.python_version()}"
 
 
 def main(args, program):
-    """Plays the plan in the file `args.file`; 0 if no rule was broken and every accepted job ended, else 1.
-    `program`: arguments that start roadhead."""
+    """Runs the plan in the file `args.file` and prints its report. Returns the exit status.
+
+    0 if no rule was broken and every accepted job ended, 1 if not, 2 if the plan is not valid.
+    `program`: arguments that start roadhead.
+    """
     try:
-        wanted = plan.load(args.file)
+        run_plan = plan.load(args.file)
     except plan.PlanError as error:
         for fault in error.faults:
             print(f"roadhead: {fault}", file=sys.stderr)
@@ -189,7 +192,7 @@
     directory = Path(args.keep or tempfile.mkdtemp(prefix="roadhead-scale-")).resolve()
     directory.mkdir(parents=True, exist_ok=True)
     try:
-        found = Run(Layout.create(directory, wanted, program)).play()
+        figures = Run(Layout.create(directory, run_plan, program)).execute()
     except StartError as error:
         print(f"roadhead: {error}", file=sys.stderr)
         return 1
@@ -198,14 +201,14 @@
     finally:
         if not args.keep:
             shutil.rmtree(directory, ignore_errors=True)
-    print("\n".join(report.render(found)))
+    print("\n".join(report.render(figures)))
     if args.report:
-        Path(args.report).write_bytes(msgspec.json.format(msgspec.json.encode(found)))
-    return 1 if found.faults or found.unended or found.stopped else 0
+        Path(args.report).write_bytes(msgspec.json.format(msgspec.json.encode(figures)))
+    return 1 if figures.faults or figures.unended or figures.stopped else 0
 
 
 def part(arguments):
-    """A process of a run: `state DIR`, `cloud DIR`, `workers DIR NUMBER` or `users DIR`."""
+    """Runs one process of a scale run: `state DIR`, `cloud DIR`, `workers DIR NUMBER` or `users DIR`."""
     from roadhead.scale import hollow, services  # noqa: PLC0415  each process imports only what it needs
 
     name, *rest = arguments
--- a/roadhead/scale/hollow.py
+++ b/roadhead/scale/hollow.py
@@ -1,4 +1,4 @@
-"""Hollow workers, many to a process: they speak the whole protocol, and tasks end by the clock alone."""
+"""Hollow workers, many per process: they speak the whole worker protocol but simulate tasks by timers."""
 
 from roadhead.local.fault_windows import FaultWindow
 from roadhead.local.processes import Ground
@@ -8,14 +8,14 @@
 from roadhead.scale.traffic import CountedNet, Traffic
 from roadhead.scale.workload import Workload
 
-CPUS_TYPE = "box"
-FLUSH_S = 1.0
+MACHINE_TYPE = "box"
+FLUSH_S = 1.0  # how often the event log is flushed
 
 
 class EventLog:
-    """What tasks did on workers, a line each: time (steady clock of this machine), sign, task, worker.
+    """Log of task events, one per line: time (monotonic clock of this machine), sign, task, worker.
 
-    The sign is `+` for a task that has its image there, `-` for one that is gone, `=` for completion.
+    Signs: `+` the task's image is on the worker, `-` the task is gone from it, `=` the task is complete.
     """
 
     def __init__(self, loop, path):
@@ -24,7 +24,7 @@
         loop.spawn(self._flush(), "event log")
 
     def add(self, sign, task, worker):
-        """Notes what became of a task."""
+        """Appends an event of a task."""
         self._file.write(f"{self._loop.now():.4f} {sign} {task} {worker}\n")
 
     async def _flush(self):
@@ -34,7 +34,7 @@
 
 
 class HollowGround(Ground):
-    """The world of the hollow workers of one process."""
+    """The environment that the hollow workers of one process share: loop, network, workload, event log."""
 
     def __init__(self, directory, number):
         super().__init__(directory)
@@ -45,34 +45,34 @@
         self.traffic = Traffic()
 
     def host(self, _host, loop):
-        """The network of a worker."""
+        """Returns the network of a worker."""
         return CountedNet(loop, self.traffic)
 
     def job_of(self, task):
-        """What the worker needs to know of a task's job, or None."""
+        """Returns the description of a task's job as the worker emulator needs it, or None if unknown."""
         arrival = self._workload.get(task.rpartition("/")[0])
         return None if arrival is None else {**arrival.job, "runS": arrival.run_s}
 
     def on_machine(self, task, worker):
-        """A task has its image."""
+        """Logs that a task has its image on a worker."""
         self.log.add("+", task, worker.name)
 
     def off_machine(self, task, worker):
-        """A task has ended, or was killed."""
+        """Logs that a task has ended or was killed."""
         self.log.add("-", task, worker.name)
 
     def task_done(self, task):
-        """A task is complete."""
+        """Logs that a task is complete."""
         self.log.add("=", task, "")
 
 
 class HollowWorker(Worker):
-    """A worker that sleeps until its lease ends in place of looking every moment, and that can be ended."""
+    """A worker that sleeps until its lease ends instead of polling it, and can be ended, cut or restarted."""
 
-    def __init__(self, world, kind, order):
-        """`order`: what the cloud emulator says of the machine."""
+    def __init__(self, world, kind, spec):
+        """`spec`: the machine's description from the cloud emulator, see HollowMachine.start_spec."""
         self._routines = []
-        super().__init__(world, order["name"], 0, kind, order["zone"], order["spot"], order["address"])
+        super().__init__(world, spec["name"], 0, kind, spec["zone"], spec["spot"], spec["address"])
 
     async def _live(self):
         self._routines.append(self.loop.spawn(super()._live(), self.name))
@@ -87,34 +87,34 @@
                 self.changed()
 
     def end(self):
-        """The machine is gone, with all that runs on it."""
+        """Ends the machine and all that runs on it."""
         super().end()
         self.net.close()
         for routine in self._routines:
             routine.cancel()
 
     def cut(self, for_s):
-        """Nothing reaches it, nor does it reach anybody; its tasks go on until its lease ends."""
+        """Drops its traffic in both directions for `for_s` seconds; tasks run on until the lease ends."""
         self.deaf_until = self.mute_until = self.sim.time + for_s
 
     def restart(self):
-        """The machine comes back at once, in a new session, without its tasks."""
+        """Restarts the machine at once, in a new session and without its tasks."""
         self._end_session()
         self.token = 0
         self.changed()
 
 
 class HostControl(Server):
-    """Takes the cloud's orders for the workers of this process, and tells what they have cost."""
+    """Carries out the cloud emulator's commands on the workers of this process and reports their figures."""
 
-    def __init__(self, ground, number):
-        address = ground.plan["hosts"][number]
-        super().__init__(ground, address.rpartition(":")[0], address)
+    def __init__(self, world, number):
+        address = world.plan["hosts"][number]
+        super().__init__(world, address.rpartition(":")[0], address)
         self._workers = {}  # name -> HollowWorker
-        self._kind = {"name": CPUS_TYPE, "vcpus": ground.plan["plan"]["cluster"]["cpus_per_worker"]}
+        self._kind = {"name": MACHINE_TYPE, "vcpus": world.plan["plan"]["cluster"]["cpus_per_worker"]}
 
     async def handle(self, method, path, _args, body, _host):
-        """Orders of the cloud emulator (`start`, `end`, `restart`, `cut` workers, slow reports); figures."""
+        """Handles commands of the cloud emulator (start, end, restart, cut; slow reports), and figures."""
         if path == "/scale/figures":
             return 200, self._figures()
         if (method, path) == ("POST", "/scale/slow-reports"):
@@ -123,28 +123,28 @@
             return 200, {}
         if (method, path) != ("POST", "/scale/workers"):
             return 404, {}
-        self._carry_out(body)
+        self._apply(body)
         return 200, {}
 
-    def _carry_out(self, orders):
-        for order in orders["start"]:
-            self._start(order)
+    def _apply(self, commands):
+        for spec in commands["start"]:
+            self._start(spec)
         workers = self._workers
-        for name in orders["end"]:
+        for name in commands["end"]:
             if name in workers:
                 workers.pop(name).end()
-        for name in orders["restart"]:
+        for name in commands["restart"]:
             if name in workers:
                 workers[name].restart()
-        for name, for_s in orders["cut"]:
+        for name, for_s in commands["cut"]:
             if name in workers:
                 workers[name].cut(for_s)
 
-    def _start(self, order):
-        if order["name"] in self._workers:
-            return  # the order was repeated
-        kind = {**self._kind, "startupS": order["boot_s"]}
-        self._workers[order["name"]] = HollowWorker(self.world, kind, order)
+    def _start(self, spec):
+        if spec["name"] in self._workers:
+            return  # the command was repeated
+        kind = {**self._kind, "startupS": spec["boot_s"]}
+        self._workers[spec["name"]] = HollowWorker(self.world, kind, spec)
 
     def _figures(self):
         world = self.world
@@ -159,7 +159,7 @@
 
 
 def main(directory, number):
-    """A process of hollow workers."""
-    ground = HollowGround(directory, int(number))
-    HostControl(ground, int(number))
-    ground.loop.run()
+    """Runs a process of hollow workers. `number`: its index among those processes."""
+    world = HollowGround(directory, int(number))
+    HostControl(world, int(number))
+    world.loop.run()
--- a/roadhead/scale/layout.py
+++ b/roadhead/scale/layout.py
@@ -1,4 +1,4 @@
-"""Addresses and files of a run: what its processes need to find each other."""
+"""The directory of a scale run: addresses and settings with which its processes find each other."""
 
 import json
 import random
@@ -9,34 +9,36 @@
 
 from roadhead.scale.plan import Plan
 
-LAYOUT = "cluster.json"
+LAYOUT_FILE = "cluster.json"
 WORKER_PORT = 9000
 SERVICE_PORT, PEER_PORT, HOST_PORT = 8080, 8081, 8082
-WORKERS_A_SUBNET = 250
-NETWORKS = range(10, 250)  # second parts of loopback addresses
-SOCKETS = 4096  # of a controller
-KEPT_IDLE = 1e6  # of a machine's boot time: workers of a scale run are not returned when idle
+WORKERS_PER_SUBNET = 250
+NETWORKS = range(10, 250)  # second octets of loopback addresses
+CONTROLLER_FD_LIMIT = 4096  # limit of open files of a controller
+IDLE_RATIO = 1e6  # in boot times of a machine: so high that idle workers of a scale run are never returned
 
 
 def zone_name(number):
-    """The name of a zone by its number."""
+    """Returns the name of a zone by its number."""
     return f"zone-{number}"
 
 
 def worker_address(network, number):
-    """A loopback address of a worker's own, so that thousands can listen. `network`: the run's own."""
-    subnet, place = divmod(number, WORKERS_A_SUBNET)
-    return f"127.{network}.{subnet}.{place + 1}:{WORKER_PORT}"
+    """Returns a loopback address for one worker, so that thousands can listen. `network`: that of the run."""
+    subnet, index = divmod(number, WORKERS_PER_SUBNET)
+    return f"127.{network}.{subnet}.{index + 1}:{WORKER_PORT}"
 
 
-def service_address(network, place, port=SERVICE_PORT):
-    """A loopback address of a process of the run. No connection takes its port: those of outgoing ones are
-    higher."""
-    return f"127.{network}.254.{place + 1}:{port}"
+def service_address(network, index, port=SERVICE_PORT):
+    """Returns the loopback address of a process of the run.
+
+    Its ports are below the range of ephemeral ports, so no outgoing connection can occupy them.
+    """
+    return f"127.{network}.254.{index + 1}:{port}"
 
 
 def reserve_network():
-    """(a network for workers that no other run uses, the socket that reserves it as long as it is open)."""
+    """Returns (a network that no other run uses, the socket that reserves it as long as it is open)."""
     for network in random.sample(NETWORKS, len(NETWORKS)):
         lock = socket.socket()
         try:
@@ -46,21 +48,21 @@
             lock.close()
             continue
         return network, lock
-    raise OSError("no network is left for the workers of this run")
+    raise OSError("all loopback networks for scale runs are in use")
 
 
 class Layout:
-    """The directory of a run. `document`: what `local.processes.Ground` reads, and addresses more."""
+    """The directory of a run. `document`: what `roadhead.local.processes` reads, and further addresses."""
 
     def __init__(self, directory):
         self.directory = Path(directory)
-        self._lock = None  # reserves the workers' network while the run lasts
-        self.document = json.loads((self.directory / LAYOUT).read_text())
+        self._lock = None  # the socket that reserves the workers' network during the run
+        self.document = json.loads((self.directory / LAYOUT_FILE).read_text())
         self.plan = msgspec.convert(self.document["plan"], Plan)
 
     @classmethod
     def create(cls, directory, plan, program):
-        """Writes the directory's files for a Plan. `program`: arguments that start roadhead."""
+        """Writes the files of a Plan and returns the Layout. `program`: arguments that start roadhead."""
         directory = Path(directory)
         network, lock = reserve_network()
         labels = [f"controller-{number}" for number in range(plan.cluster.controllers)]
@@ -69,32 +71,32 @@
             "program": program,
             "network": network,
             "labels": labels,
-            "fronts": [service_address(network, place) for place in range(len(labels))],
-            "internal": [service_address(network, place, PEER_PORT) for place in range(len(labels))],
+            "fronts": [service_address(network, index) for index in range(len(labels))],
+            "internal": [service_address(network, index, PEER_PORT) for index in range(len(labels))],
             "state": service_address(network, len(labels)),
             "cloud": service_address(network, len(labels) + 1),
-            "hosts": [service_address(network, place, HOST_PORT) for place in range(plan.cluster.hosts)],
+            "hosts": [service_address(network, index, HOST_PORT) for index in range(plan.cluster.hosts)],
             "settings": {
                 "workers": {name: getattr(plan.timing, name) for name in ("report_s", "lease_s", "cancel_s")},
                 "state": msgspec.to_builtins(plan.state),
                 "cloud": {"rps": plan.cloud_rps, "list_lag_s": plan.timing.list_lag_s},
             },
         }
-        (directory / LAYOUT).write_text(json.dumps(document))
+        (directory / LAYOUT_FILE).write_text(json.dumps(document))
         (directory / "tuning.toml").write_text(
-            f"[fleet]\nidle_ratio = {KEPT_IDLE}\n[membership]\nquota_partitions = {plan.teams.partitions}\n"
+            f"[fleet]\nidle_ratio = {IDLE_RATIO}\n[membership]\nquota_partitions = {plan.teams.partitions}\n"
         )
         layout = cls(directory)
         layout._lock = lock
         for number in range(len(labels)):
-            (directory / f"{labels[number]}.json").write_text(json.dumps(layout._settings_of(number)))
+            (directory / f"{labels[number]}.json").write_text(json.dumps(layout._controller_settings(number)))
         return layout
 
     def zone_of(self, number):
-        """The zone of a controller or worker, by its number."""
+        """Returns the zone of a controller or worker by its number."""
         return zone_name(number % self.plan.cluster.zones)
 
-    def _settings_of(self, number):
+    def _controller_settings(self, number):
         document, plan = self.document, self.plan
         members = [
             {"label": label, "location": self.zone_of(other), "endpoint": document["internal"][other]}
@@ -115,13 +117,13 @@
                     {"name": f"team-{team}", "cpus_max": plan.teams.cpus_max}
                     for team in range(plan.teams.count)
                 ],
-                "quota": {"fd_limit": SOCKETS},
+                "quota": {"fd_limit": CONTROLLER_FD_LIMIT},
                 **document["settings"],
             },
         }
 
     def processes(self):
-        """Yields (role, name, arguments of roadhead) of each process, in the order in which they start."""
+        """Yields (role, name, arguments of roadhead) of each process, in start order."""
         directory = str(self.directory)
         yield "state", "state", ["scale-part", "state", directory]
         for number in range(self.plan.cluster.hosts):
@@ -131,10 +133,10 @@
             yield "controller", label, self.controller_arguments(label)
 
     def controller_arguments(self, label):
-        """Arguments of roadhead that start a controller."""
+        """Returns the arguments of roadhead that start a controller."""
         config, tuning = self.directory / f"{label}.json", self.directory / "tuning.toml"
         return ["serve", "--config", str(config), "--tuning", str(tuning)]
 
     def host_of(self, number):
-        """The process of a worker, by the worker's number."""
+        """Returns the number of the process that runs a worker, by the worker's number."""
         return number % self.plan.cluster.hosts
--- a/roadhead/scale/load.py
+++ b/roadhead/scale/load.py
@@ -1,7 +1,7 @@
-"""The users of a scale run: an open loop, so that a slow service does not slow its load.
+"""The users of a scale run: an open-loop load generator, so a slow service does not reduce its own load.
 
-Each job is submitted when its time has come, however many wait. Latencies count from that time, not from
-the moment at which a request went out.
+Each job is submitted at its scheduled time, however many requests are pending. Latencies are measured from
+that time, not from when the request was sent.
 """
 
 import random
@@ -18,23 +18,23 @@
 from roadhead.scale.workload import Workload
 from roadhead.wire.http import Client, NoAnswer
 
-RESULT = "load.json"
-ACCEPTED = (200, 201)
-SUBMIT_S, POLL_S = 5.0, 2.0  # how long users wait for an answer
-PATIENCE_S = 60.0  # how long they repeat a submission or a cancellation
-POLL_EVERY_S = (4.0, 6.0)
-RETRY_S = (1.0, 2.0)
-KEPT_CONNECTIONS = 64  # to each controller
+RESULT_FILE = "load.json"
+SUCCESS_STATUSES = (200, 201)
+SUBMIT_TIMEOUT_S, POLL_TIMEOUT_S = 5.0, 2.0  # request timeouts of users
+RETRY_FOR_S = 60.0  # how long users retry a submission or a cancellation
+POLL_PAUSE_S = (4.0, 6.0)  # range of random pauses between polls
+RETRY_PAUSE_S = (1.0, 2.0)  # range of random pauses between retries
+MAX_IDLE_CONNECTIONS = 64  # idle connections kept open to each controller
 
 
 @dataclass
 class JobResult:
-    """What a user saw of a job; times in seconds of this machine's steady clock, None for what never came."""
+    """What a user saw of a job. Times are seconds of the monotonic clock, None for what did not happen."""
 
     job_id: str
     job_class: str
     tasks: int
-    due_at: float  # when it was to be submitted
+    due_at: float  # scheduled time of its submission
     accepted_at: float | None = None
     over_at: float | None = None
     state: str | None = None
@@ -45,7 +45,7 @@
 
 @dataclass
 class LoadResult:
-    """All that the users saw. `answers`: "question status" -> how many."""
+    """What all users saw together. `answers`: "<question> <status>" -> count."""
 
     began_at: float
     jobs: list[JobResult] = field(default_factory=list)
@@ -56,7 +56,7 @@
 
 
 class Users:
-    """Plays all arrivals of a Workload against the controllers."""
+    """Sends all jobs of a Workload to the controllers and follows them to their ends."""
 
     def __init__(self, loop, layout):
         self._loop = loop
@@ -64,82 +64,82 @@
         self._traffic = Traffic()
         net = CountedNet(loop, self._traffic)
         self._fronts = layout.document["fronts"]
-        self._clients = [Client(loop, net, front, KEPT_CONNECTIONS) for front in self._fronts]
+        self._clients = [Client(loop, net, front, MAX_IDLE_CONNECTIONS) for front in self._fronts]
         self._random = random.Random(layout.plan.seed)
         self._history = History()
-        self._open = 0
+        self._open_jobs = 0
         self._arrivals = Workload(layout.plan).arrivals
         self._answers = Counter()
         self.result = LoadResult(loop.now())
 
     async def run(self):
-        """Submits everything at its time, and waits for what is open, as long as the plan says."""
+        """Submits every job at its time, then waits up to the plan's `drain_s` for the open ones."""
         for arrival in self._arrivals:
             due_at = self.result.began_at + arrival.at_s
             await self._loop.sleep(max(0.0, due_at - self._loop.now()))
-            self._loop.spawn(self._play(arrival, due_at), arrival.job["id"])
-        until = self.result.began_at + self._plan.load_s + self._plan.drain_s
-        while self._open and self._loop.now() < until:
+            self._loop.spawn(self._run_job(arrival, due_at), arrival.job["id"])
+        deadline = self.result.began_at + self._plan.load_s + self._plan.drain_s
+        while self._open_jobs and self._loop.now() < deadline:
             await self._loop.sleep(0.2)
         self.result.answers = dict(self._answers)
         self.result.received, self.result.sent = self._traffic.received, self._traffic.sent
 
-    async def _play(self, arrival, due_at):
+    async def _run_job(self, arrival, due_at):
         job = arrival.job
-        seen = JobResult(job["id"], job["jobclass"], job["legs"], due_at)
-        self.result.jobs.append(seen)
-        self._open += 1
+        outcome = JobResult(job["id"], job["jobclass"], job["legs"], due_at)
+        self.result.jobs.append(outcome)
+        self._open_jobs += 1
         try:
-            if await self._submit(job, seen):
+            if await self._submit(job, outcome):
                 if arrival.cancel_after_s is not None:
-                    self._loop.spawn(self._cancel(arrival, seen), "cancel")
-                await self._wait(seen)
+                    self._loop.spawn(self._cancel(arrival, outcome), "cancel")
+                await self._wait(outcome)
         finally:
-            self._open -= 1
-
-    async def _submit(self, job, seen):
-        until = seen.due_at + PATIENCE_S
-        while self._loop.now() < until:
-            seen.tries += 1
-            status, state = await self._ask(Question.SUBMIT, seen.job_id, job, SUBMIT_S)
-            if status in ACCEPTED:
-                seen.accepted_at = self._loop.now()
-                self._learn(seen, state)
+            self._open_jobs -= 1
+
+    async def _submit(self, job, outcome):
+        deadline = outcome.due_at + RETRY_FOR_S
+        while self._loop.now() < deadline:
+            outcome.tries += 1
+            status, state = await self._request(Question.SUBMIT, outcome.job_id, job, SUBMIT_TIMEOUT_S)
+            if status in SUCCESS_STATUSES:
+                outcome.accepted_at = self._loop.now()
+                self._record_state(outcome, state)
                 return True
             if status in (400, 422):
-                self.result.faults.append(f"{seen.job_id}: submission answered {status}")
+                self.result.faults.append(f"{outcome.job_id}: submission answered {status}")
                 return False
-            await self._loop.sleep(self._random.uniform(*RETRY_S))
+            await self._loop.sleep(self._random.uniform(*RETRY_PAUSE_S))
         return False
 
-    async def _wait(self, seen):
-        while seen.state not in FINAL:
-            await self._loop.sleep(self._random.uniform(*POLL_EVERY_S))
-            status, state = await self._ask(Question.POLL, seen.job_id, None, POLL_S)
-            if status in ACCEPTED:
-                self._learn(seen, state)
+    async def _wait(self, outcome):
+        while outcome.state not in FINAL:
+            await self._loop.sleep(self._random.uniform(*POLL_PAUSE_S))
+            status, state = await self._request(Question.POLL, outcome.job_id, None, POLL_TIMEOUT_S)
+            if status in SUCCESS_STATUSES:
+                self._record_state(outcome, state)
 
-    async def _cancel(self, arrival, seen):
-        due_at = seen.due_at + arrival.cancel_after_s
+    async def _cancel(self, arrival, outcome):
+        due_at = outcome.due_at + arrival.cancel_after_s
         await self._loop.sleep(max(0.0, due_at - self._loop.now()))
-        seen.cancel_asked_at = self._loop.now()
-        while seen.state not in FINAL and self._loop.now() < seen.cancel_asked_at + PATIENCE_S:
-            status, state = await self._ask(Question.CANCEL, seen.job_id, None, SUBMIT_S)
-            if status in ACCEPTED:
-                self._learn(seen, state)
+        outcome.cancel_asked_at = self._loop.now()
+        while outcome.state not in FINAL and self._loop.now() < outcome.cancel_asked_at + RETRY_FOR_S:
+            status, state = await self._request(Question.CANCEL, outcome.job_id, None, SUBMIT_TIMEOUT_S)
+            if status in SUCCESS_STATUSES:
+                self._record_state(outcome, state)
                 return
-            await self._loop.sleep(self._random.uniform(*RETRY_S))
+            await self._loop.sleep(self._random.uniform(*RETRY_PAUSE_S))
 
-    def _learn(self, seen, state):
-        if state in FINAL and seen.state not in FINAL:
-            seen.over_at = self._loop.now()
+    def _record_state(self, outcome, state):
+        if state in FINAL and outcome.state not in FINAL:
+            outcome.over_at = self._loop.now()
             if state == "cancelled":
-                seen.cancelled_at = seen.over_at
-        if seen.state not in FINAL:
-            seen.state = state
+                outcome.cancelled_at = outcome.over_at
+        if outcome.state not in FINAL:
+            outcome.state = state
 
-    async def _ask(self, question, job_id, body, timeout_s):
-        """(status, the job's state) of any controller; status 0 without an answer."""
+    async def _request(self, question, job_id, body, timeout_s):
+        """Returns (status, the job's state) as a random controller answers; status 0 without an answer."""
         asked_at = self._loop.now()
         number = self._random.randrange(len(self._clients))
         if body is not None:
@@ -167,7 +167,7 @@
 
 
 def main(directory):
-    """The process of the users; leaves a LoadResult as JSON."""
+    """Runs the users' process and writes its LoadResult as JSON into the run's directory."""
     layout, loop = Layout(directory), Loop()
     users = Users(loop, layout)
 
@@ -177,4 +177,4 @@
 
     loop.spawn(run(), "users")
     loop.run()
-    (layout.directory / RESULT).write_bytes(msgspec.json.encode(users.result))
+    (layout.directory / RESULT_FILE).write_bytes(msgspec.json.encode(users.result))
--- a/roadhead/scale/plan.py
+++ b/roadhead/scale/plan.py
@@ -1,4 +1,4 @@
-"""The file that describes a scale run (TOML), and what is wrong with one."""
+"""The plan of a scale run: a TOML file, its types and its validation."""
 
 import math
 from pathlib import Path
@@ -6,8 +6,8 @@
 
 import msgspec
 
-PROCESSES_MOST = 200
-HOST_WORKERS_MOST = 2000  # hollow workers in one process
+MAX_PROCESSES = 200
+MAX_WORKERS_PER_HOST = 2000  # hollow workers in one process
 PERCENT = 100
 EVENT_KINDS = (
     "controllers_end",
@@ -24,7 +24,7 @@
 
 
 class PlanError(Exception):
-    """The file is not a valid plan. `faults`: a line each."""
+    """Raised for a file that is not a valid plan. `faults`: one line per error."""
 
     def __init__(self, faults):
         super().__init__("; ".join(faults))
@@ -32,11 +32,11 @@
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A table of the file; a key that it does not know is a fault."""
+    """Base of the tables of a plan file. Unknown keys are errors."""
 
 
 class ClusterSize(Table, frozen=True):
-    """How many of what. `hosts`: processes over which the workers are spread."""
+    """Numbers of controllers, workers and zones. `hosts`: processes over which the workers are spread."""
 
     controllers: int = 3
     workers: int = 100
@@ -46,7 +46,7 @@
 
 
 class Timing(Table, frozen=True):
-    """The platform's times, in seconds; `fetch_s` is how long a worker fetches an image."""
+    """Times of the platform in seconds. `fetch_s`: how long a worker takes to fetch an image."""
 
     report_s: float = 2.5
     lease_s: float = 15.0
@@ -57,7 +57,7 @@
 
 
 class StateLimits(Table, frozen=True):
-    """Limits of the emulated state service, as the protocol names them."""
+    """Limits of the emulated state service, under their names in the protocol."""
 
     rps: float = 200.0
     write_rps: float = 30.0
@@ -66,8 +66,10 @@
 
 
 class Teams(Table, frozen=True):
-    """`count` teams with the same limit in CPUs each, 0 for none, divided into `partitions` among the
-    controllers."""
+    """`count` teams, each limited to `cpus_max` CPUs (0: no limit).
+
+    Their quotas are divided into `partitions` among the controllers.
+    """
 
     count: int = 1
     cpus_max: float = 0.0
@@ -75,7 +77,7 @@
 
 
 class JobClass(Table, frozen=True):
-    """Jobs of one kind, arriving at random times at a steady rate."""
+    """Jobs of one kind, arriving as a Poisson process with a constant rate."""
 
     name: str
     jobs_per_s: float
@@ -83,11 +85,11 @@
     run_s: float = 10.0
     cpus: float = 1.0
     urgency: Literal["critical", "high", "standard", "low"] = "standard"
-    cancelled: float = 0.0  # share of the jobs that their users call off while they run
+    cancelled: float = 0.0  # share of the jobs that their users cancel while they run
 
 
 class Event(Table, frozen=True):
-    """A failure `at_s` after the load begins. What it takes of `count`, `for_s` and `zone` is its kind's."""
+    """A failure `at_s` seconds after the load begins. `kind` decides which of the other fields it uses."""
 
     at_s: float
     kind: str
@@ -97,8 +99,11 @@
 
 
 class Plan(Table, frozen=True):
-    """A scale run. The load begins `settle_s` after all controllers are ready, and lasts `warm_s` +
-    `measured_s`; then users wait, for `drain_s` at the most."""
+    """A scale run.
+
+    The load begins `settle_s` after all controllers are ready and lasts `warm_s` + `measured_s`; then users
+    wait up to `drain_s` for their jobs to end.
+    """
 
     seed: int = 1
     settle_s: float = 0.0
@@ -115,17 +120,17 @@
 
     @property
     def load_s(self):
-        """Seconds for which jobs arrive."""
+        """Seconds during which jobs arrive."""
         return self.warm_s + self.measured_s
 
     @property
     def processes(self):
-        """How many processes the run needs: controllers, hosts of workers, state service, cloud, load."""
+        """Number of processes of the run: controllers, hosts of workers, state service, cloud, users."""
         return self.cluster.controllers + self.cluster.hosts + 3
 
 
 def parse(data):
-    """The Plan in the bytes of a TOML file. Raises PlanError."""
+    """Returns the Plan in the bytes of a TOML file. Raises PlanError."""
     try:
         plan = msgspec.toml.decode(data, type=Plan)
     except (msgspec.DecodeError, ValueError) as error:
@@ -136,7 +141,7 @@
 
 
 def load(path):
-    """The Plan in a file. Raises PlanError."""
+    """Returns the Plan in the file at `path`. Raises PlanError, also if the file cannot be read."""
     try:
         data = Path(path).read_bytes()
     except OSError as error:
@@ -147,7 +152,7 @@
         raise PlanError([f"{path}: {fault}" for fault in error.faults]) from None
 
 
-def _not_positive(where, table, names):
+def _non_positive_faults(where, table, names):
     for name in names:
         value = getattr(table, name)
         if not 0 < value < math.inf:
@@ -156,11 +161,11 @@
 
 def _size_faults(plan):
     cluster = plan.cluster
-    yield from _not_positive("", plan, ("measured_s", "cloud_rps"))
-    yield from _not_positive("cluster.", cluster, cluster.__struct_fields__)
-    yield from _not_positive("timing.", plan.timing, plan.timing.__struct_fields__)
-    yield from _not_positive("state.", plan.state, plan.state.__struct_fields__)
-    yield from _not_positive("teams.", plan.teams, ("count", "partitions"))
+    yield from _non_positive_faults("", plan, ("measured_s", "cloud_rps"))
+    yield from _non_positive_faults("cluster.", cluster, cluster.__struct_fields__)
+    yield from _non_positive_faults("timing.", plan.timing, plan.timing.__struct_fields__)
+    yield from _non_positive_faults("state.", plan.state, plan.state.__struct_fields__)
+    yield from _non_positive_faults("teams.", plan.teams, ("count", "partitions"))
     for name in ("settle_s", "warm_s", "drain_s"):
         if not 0 <= getattr(plan, name) < math.inf:
             yield f"{name}: must not be negative, is {getattr(plan, name)}"
@@ -168,10 +173,10 @@
         yield f"teams.cpus_max: must not be negative, is {plan.teams.cpus_max}"
     if plan.timing.cancel_s <= plan.timing.lease_s:
         yield "timing.cancel_s: must be above lease_s"
-    if plan.processes > PROCESSES_MOST:
-        yield f"{plan.processes} processes, {PROCESSES_MOST} at most"
-    if cluster.hosts > 0 and cluster.workers > HOST_WORKERS_MOST * cluster.hosts:
-        yield f"cluster.hosts: one takes {HOST_WORKERS_MOST} workers at most"
+    if plan.processes > MAX_PROCESSES:
+        yield f"{plan.processes} processes, {MAX_PROCESSES} at most"
+    if cluster.hosts > 0 and cluster.workers > MAX_WORKERS_PER_HOST * cluster.hosts:
+        yield f"cluster.hosts: one takes {MAX_WORKERS_PER_HOST} workers at most"
 
 
 def _class_faults(plan):
@@ -181,7 +186,9 @@
     for name in sorted({name for name in names if names.count(name) > 1}):
         yield f"class: {name!r} stands twice"
     for kind in plan.classes:
-        yield from _not_positive(f"class {kind.name!r}: ", kind, ("jobs_per_s", "tasks", "run_s", "cpus"))
+        yield from _non_positive_faults(
+            f"class {kind.name!r}: ", kind, ("jobs_per_s", "tasks", "run_s", "cpus")
+        )
         if not 0 <= kind.cancelled <= 1:
             yield f"class {kind.name!r}: cancelled: must be from 0 to 1, is {kind.cancelled}"
         if kind.cpus > plan.cluster.cpus_per_worker:
--- a/roadhead/scale/processes.py
+++ b/roadhead/scale/processes.py
@@ -1,4 +1,4 @@
-"""Starts, watches, fails and ends the processes of a scale run."""
+"""Starts, measures, kills and stops the processes of a scale run."""
 
 import contextlib
 import http
@@ -14,19 +14,19 @@
 
 from roadhead.local.processes import die_with_parent
 
-READY_S = 60.0
-DUMP_S = 1.0  # for the controllers to write what they decided
+READY_TIMEOUT_S = 60.0  # how long a process may take to become ready
+DUMP_WAIT_S = 1.0  # time for the controllers to write their decision logs
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")
 
 
 class StartError(Exception):
-    """The cluster did not come up."""
+    """Raised if the cluster does not become ready in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used: processor seconds since its start, resident bytes, open files."""
+    """Resource usage of a process: CPU seconds since its start, resident bytes, open files."""
 
     cpu_s: float
     resident: int
@@ -34,7 +34,7 @@
 
 
 def usage_of(pid):
-    """The Usage of a process, or None once it has ended."""
+    """Returns the Usage of a process, or None if it has ended."""
     try:
         with open(f"/proc/{pid}/stat") as file:
             fields = file.read().rpartition(")")[2].split()
@@ -42,11 +42,11 @@
     except OSError:
         return None
     cpu_s = (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
-    return Usage(cpu_s, int(fields[21]) * PAGE, files)
+    return Usage(cpu_s, int(fields[21]) * PAGE_SIZE, files)
 
 
-def ask(address, method, path, body=None, timeout_s=20.0):
-    """The answer of an emulator or a controller. Raises OSError."""
+def request(address, method, path, body=None, timeout_s=20.0):
+    """Returns the decoded answer of an emulator or a controller. Raises OSError, also if it is not a 200."""
     connection = http.client.HTTPConnection(address, timeout=timeout_s)
     try:
         connection.request(method, path, cbor2.dumps(body) if body is not None else None)
@@ -62,43 +62,43 @@
 
 
 class Processes:
-    """All processes of a Layout. `roles`: name -> role."""
+    """The processes of a Layout. `roles`: process name -> role."""
 
     def __init__(self, layout):
         self._layout = layout
         self._running = {}  # name -> Popen
         self._arguments = {}
-        self._ended_cpu_s = {}  # name -> processor seconds of those before it
+        self._ended_cpu_s = {}  # name -> CPU seconds of its killed predecessors
         self.roles = {}
 
     def start(self):
-        """Starts the services, then the controllers, and waits until all are ready. Raises StartError."""
+        """Starts the emulators, then the controllers, and waits until all are ready. Raises StartError."""
         (self._layout.directory / "logs").mkdir(exist_ok=True)
         for role, name, arguments in self._layout.processes():
             self.roles[name], self._arguments[name] = role, arguments
             if role == "controller":
                 continue
-            self.begin(name)
+            self.launch(name)
         document = self._layout.document
         for address in (document["state"], *document["hosts"]):
-            self._await(address, "/scale/figures")
-        self._await(document["cloud"], "/catalog")
+            self._wait_until_ready(address, "/scale/figures")
+        self._wait_until_ready(document["cloud"], "/catalog")
         for label in document["labels"]:
-            self.begin(label)
+            self.launch(label)
         for front in document["fronts"]:
-            self._await(front, "/ready")
+            self._wait_until_ready(front, "/ready")
 
-    def _await(self, address, path):
-        deadline = time.monotonic() + READY_S
+    def _wait_until_ready(self, address, path):
+        deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             with contextlib.suppress(OSError):
-                ask(address, "GET", path, timeout_s=2.0)
+                request(address, "GET", path, timeout_s=2.0)
                 return
             time.sleep(0.1)
         raise StartError(f"{address}{path}: no answer; logs are in {self._layout.directory / 'logs'}")
 
-    def begin(self, name):
-        """Starts a process, if it does not run."""
+    def launch(self, name):
+        """Starts a process unless it was already started."""
         if name in self._running:
             return
         with open(self._layout.directory / "logs" / f"{name}.log", "ab") as log:
@@ -110,18 +110,18 @@
                 preexec_fn=die_with_parent,
             )
 
-    def begin_load(self):
-        """Starts the users."""
+    def start_users(self):
+        """Starts the process of the users."""
         self.roles["users"] = "users"
         self._arguments["users"] = ["scale-part", "users", str(self._layout.directory)]
-        self.begin("users")
+        self.launch("users")
 
-    def running(self, name):
-        """Whether a process was started and has not ended."""
+    def is_running(self, name):
+        """Returns whether a process was started and has not ended."""
         return name in self._running and self._running[name].poll() is None
 
     def kill(self, name):
-        """Ends a process, whose processor time still counts."""
+        """Kills a process. Its CPU time stays included in `usage`."""
         process = self._running.pop(name, None)
         if process is None:
             return
@@ -130,29 +130,29 @@
         process.kill()
         process.wait()
 
-    def stall(self, name, *, stalled):
-        """Stops a process for a while, or lets it go on."""
+    def set_stalled(self, name, *, stalled):
+        """Suspends a process (SIGSTOP) or resumes it (SIGCONT)."""
         if name in self._running:
             self._running[name].send_signal(signal.SIGSTOP if stalled else signal.SIGCONT)
 
     def usage(self):
-        """{name: Usage} of all that run; the processor time of those that ended before is in it."""
-        found = {}
+        """Returns {name: Usage} of all running processes, with the CPU time of their killed predecessors."""
+        usage_by_name = {}
         for name, process in self._running.items():
             if (used := usage_of(process.pid)) is not None:
                 cpu_s = used.cpu_s + self._ended_cpu_s.get(name, 0.0)
-                found[name] = Usage(cpu_s, used.resident, used.files)
-        return found
+                usage_by_name[name] = Usage(cpu_s, used.resident, used.files)
+        return usage_by_name
 
     def dump_decisions(self, labels):
-        """Has the controllers of these labels write the decisions that they kept to their logs."""
+        """Makes the controllers of these labels write their recorded decisions to their logs."""
         for label in labels:
-            if self.running(label):
+            if self.is_running(label):
                 self._running[label].send_signal(signal.SIGUSR1)
-        time.sleep(DUMP_S)
+        time.sleep(DUMP_WAIT_S)
 
     def stop(self):
-        """Ends all processes."""
+        """Kills all processes and waits for them."""
         for process in self._running.values():
             process.kill()
         for process in self._running.values():
--- a/roadhead/scale/report.py
+++ b/roadhead/scale/report.py
@@ -1,16 +1,19 @@
-"""The figures of a scale run, as data and as text."""
+"""The report of a scale run, as data and as text."""
 
 from dataclasses import dataclass, field
 
 MEGABYTE = 1 << 20
 KILOBYTE = 1 << 10
-LEAST_RATE = 0.05  # of requests a second that are worth a line
+MIN_PRINTED_RATE = 0.05  # requests per second; rarer kinds of requests are not printed
 
 
 @dataclass
 class RoleFigures:
-    """Of the processes of a role, in the measured part: cores of a process, on average and of the busiest;
-    megabytes and open files of the largest."""
+    """Resource usage of the processes of one role during the measured part.
+
+    `cores`, `cores_most`: CPU cores used by one process, on average and by the busiest. `megabytes`,
+    `files`: resident memory and open files of the largest process.
+    """
 
     processes: int
     cores: float
@@ -21,13 +24,13 @@
 
 @dataclass
 class Report:
-    """All figures of a run. Rates are of the measured part, a second; latencies in seconds."""
+    """All figures of a run. Rates are per second of the measured part, latencies are in seconds."""
 
     machine: str
     plan: dict
     jobs: int = 0
     accepted: int = 0
-    accepted_within_s: dict = field(default_factory=dict)  # seconds -> share
+    accepted_within_s: dict = field(default_factory=dict)  # seconds -> share of jobs accepted within them
     over: int = 0
     unended: list = field(default_factory=list)
     latencies: dict = field(default_factory=dict)  # class -> step -> summary of Percentiles
@@ -36,21 +39,21 @@
     starts_per_s_most: int = 0
     running_most: int = 0
     roles: dict = field(default_factory=dict)  # role -> RoleFigures
-    worker_bytes_per_s: float = 0.0  # to and from one worker
-    worker_cores: float = 0.0  # of one worker
+    worker_bytes_per_s: float = 0.0  # received and sent by one worker
+    worker_cores: float = 0.0  # used by one worker
     user_bytes_per_s: float = 0.0
-    state_requests_per_s: dict = field(default_factory=dict)  # kind -> rate
+    state_requests_per_s: dict = field(default_factory=dict)  # kind of request -> rate
     state_changes_per_s: float = 0.0
     state_busy_per_s: float = 0.0
     state_bytes_per_s: float = 0.0
     resident_most: int = 0  # bytes, of all processes together
     events: list = field(default_factory=list)
     faults: list = field(default_factory=list)
-    stopped: str = ""  # why the run was cut short
+    stopped: str = ""  # why the run was stopped early, empty if it was not
 
 
 def render(report):
-    """The lines of a Report for people."""
+    """Returns the lines of a Report as text for operators."""
     lines = [f"measured on {report.machine}"]
     if report.stopped:
         lines.append(f"cut short: {report.stopped}")
@@ -85,7 +88,7 @@
         f"{report.state_bytes_per_s / KILOBYTE:.0f} KB a second"
     )
     for kind, rate in sorted(report.state_requests_per_s.items(), key=lambda pair: -pair[1]):
-        if rate >= LEAST_RATE:
+        if rate >= MIN_PRINTED_RATE:
             lines.append(f"  {kind}: {rate:.2f} a second")
     lines.append(f"answers to users: {report.answers}")
     lines.append(f"memory of all processes: {report.resident_most / MEGABYTE:.0f} MB at the most")
--- a/roadhead/scale/services.py
+++ b/roadhead/scale/services.py
@@ -1,4 +1,4 @@
-"""The state service and the cloud of a scale run: the emulators, with counts and with failures on request."""
+"""State service and cloud of a scale run: the emulators with request counters and failures on demand."""
 
 from collections import Counter
 
@@ -8,19 +8,19 @@
 from roadhead.local.processes import Ground
 from roadhead.local.state_service import StateService
 from roadhead.runtime.net import Net
-from roadhead.scale.hollow import CPUS_TYPE
+from roadhead.scale.hollow import MACHINE_TYPE
 from roadhead.scale.layout import Layout, worker_address, zone_name
 from roadhead.scale.traffic import CountedNet, Traffic
 from roadhead.wire.http import Client, NoAnswer
 
-ORDER_S = 10.0  # a process of workers carries out an order in that time
-RAM_A_CPU = 4.0
+COMMAND_TIMEOUT_S = 10.0  # timeout of a command to a process of workers
+RAM_GB_PER_CPU = 4.0
 PRICE, SPOT_PRICE = 0.2, 0.05
-TOO_MANY = 429  # HTTP status: above a rate
+TOO_MANY_REQUESTS = 429  # HTTP status of requests above a rate limit
 
 
 class ScaleGround(Ground):
-    """The world of a service's process."""
+    """The environment of an emulator's process: its Layout, loop and network."""
 
     def __init__(self, directory):
         super().__init__(directory)
@@ -28,12 +28,12 @@
         self.traffic = Traffic()
 
     def host(self, _host, loop):
-        """The network of the service."""
+        """Returns the network of the emulator."""
         return CountedNet(loop, self.traffic)
 
 
 def request_kind(method, path, args, body):
-    """What a request to the state service is, for the table of counts."""
+    """Returns the kind of a request to the state service, under which it is counted."""
     if path == "/multi":
         prefixes = {(write.get("put") or write["drop"]).partition("/")[0] + "/" for write in body["writes"]}
         return f"write {' '.join(sorted(prefixes))}" if prefixes else "compare"
@@ -47,16 +47,16 @@
 
 
 class ScaleState(StateService):
-    """Counts requests by kind. `/scale/outage` with `on`: all are refused, or served again."""
+    """A state service that counts requests by kind. `/scale/outage` with `on` starts or ends an outage."""
 
-    def __init__(self, ground):
-        super().__init__(ground, ground.plan["state"])
+    def __init__(self, world):
+        super().__init__(world, world.plan["state"])
         self._kinds = Counter()
-        self._changes = 0  # puts and deletes asked for, whether or not they were carried out
-        self._busy = Counter()  # refused with 429, by kind
+        self._changes = 0  # requested puts and deletes, whether or not they were carried out
+        self._throttled = Counter()  # kind -> requests refused with 429
 
     async def handle(self, method, path, args, body, host):
-        """As the state service, and what the run asks."""
+        """Serves the state service's protocol and the scale run's own requests under `/scale/`."""
         if path == "/scale/outage":
             self.outage(body["on"])
             return 200, {}
@@ -67,15 +67,15 @@
         if path == "/multi":
             self._changes += len(body["writes"])
         status, answer = await super().handle(method, path, args, body, host)
-        if status == TOO_MANY:
-            self._busy[kind] += 1
+        if status == TOO_MANY_REQUESTS:
+            self._throttled[kind] += 1
         return status, answer
 
     def _figures(self):
         return {
             "requests": dict(self._kinds),
             "changes": self._changes,
-            "busy": dict(self._busy),
+            "busy": dict(self._throttled),
             "keys": len(self.data),
             "received": self.world.traffic.received,
             "sent": self.world.traffic.sent,
@@ -83,25 +83,25 @@
 
 
 class HollowMachine:
-    """A rented machine as the cloud knows it; its worker lives in one of the processes of workers."""
+    """A rented machine as the cloud emulator knows it; its worker runs in one of the processes of workers."""
 
     def __init__(self, cloud, name, number, kind, zone, spot):
         self.name, self.number, self.kind, self.zone, self.spot = name, number, kind, zone, spot
         self.address = worker_address(cloud.network, number)
         self.born = cloud.sim.time
         self.boot_s = kind["startupS"] * cloud.sim.random.uniform(0.6, 1.5)
-        self.tasks = {}  # known to its worker alone
+        self.tasks = {}  # CloudApi expects the field; the real tasks are known only to the worker's process
         self.failed = False
         self._cloud = cloud
 
     def listed(self):
-        """The status that the list of machines tells."""
+        """Returns the machine's status in the cloud's list of machines."""
         if self.failed:
             return "failed"
         return "running" if self._cloud.sim.time > self.born + self.boot_s else "starting"
 
-    def order(self):
-        """What the process of its worker has to know."""
+    def start_spec(self):
+        """Returns the command with which a process of workers starts this machine's worker."""
         return {
             "name": self.name,
             "address": self.address,
@@ -111,22 +111,22 @@
         }
 
     def end(self):
-        """Returned to the cloud."""
+        """Schedules the end of the worker: the machine was returned to the cloud."""
         self._cloud.ended.append(self)
 
 
 class ScaleCloud(CloudApi):
-    """Rents hollow workers. All that the plan asks for are up when the controllers start."""
+    """A cloud that rents hollow workers. All workers of the plan are running when the controllers start."""
 
-    def __init__(self, ground):
-        self._layout = ground.layout
+    def __init__(self, world):
+        self._layout = world.layout
         plan = self._layout.plan
         zones = [zone_name(zone) for zone in range(plan.cluster.zones)]
         kind = {
-            "name": CPUS_TYPE,
+            "name": MACHINE_TYPE,
             "vcpus": plan.cluster.cpus_per_worker,
             "gpus": 0,
-            "ramGb": RAM_A_CPU * plan.cluster.cpus_per_worker,
+            "ramGb": RAM_GB_PER_CPU * plan.cluster.cpus_per_worker,
             "cacheGb": 100,
             "fetchGbPerS": 1.0,
             "price": PRICE,
@@ -135,57 +135,57 @@
             "paddocks": zones,
         }
         capacity = -(-plan.cluster.workers // len(zones))
-        super().__init__(ground, [kind], capacity, ground.plan["cloud"])
-        self._hosts = [Client(self.loop, Net(self.loop), address) for address in ground.plan["hosts"]]
+        super().__init__(world, [kind], capacity, world.plan["cloud"])
+        self._hosts = [Client(self.loop, Net(self.loop), address) for address in world.plan["hosts"]]
         self.started, self.ended, self._restarted = [], [], []
         self._cut = []  # (machine, seconds)
-        self.network = ground.plan["network"]
+        self.network = world.plan["network"]
         for number in range(plan.cluster.workers):
-            self.rent(CPUS_TYPE, zones[number % len(zones)], spot=True, count=1)
-        self.loop.spawn(self._give_orders(), "first workers")
+            self.rent(MACHINE_TYPE, zones[number % len(zones)], spot=True, count=1)
+        self.loop.spawn(self._send_commands(), "first workers")
 
     def new_worker(self, name, number, kind, zone, spot):
-        """A HollowMachine, whose worker is started with the next orders."""
+        """Returns a HollowMachine, whose worker is started with the next commands."""
         machine = HollowMachine(self, name, number, kind, zone, spot)
         self.started.append(machine)
         return machine
 
     async def handle(self, method, path, args, body, host):
-        """As the cloud, and what the run asks."""
+        """Serves the cloud's protocol and the scale run's own requests under `/scale/`."""
         if path == "/scale/outage":
             self.down = body["on"]
             return 200, {}
         if path == "/scale/workers":
-            await self._fail(body)
+            await self._fail_machines(body)
             return 200, {}
         if path == "/scale/slow-reports":
             for client in self._hosts:
-                await self._order(client, path, body)
+                await self._send_command(client, path, body)
             return 200, {}
         answer = await super().handle(method, path, args, body, host)
-        await self._give_orders()
+        await self._send_commands()
         return answer
 
-    async def _fail(self, wanted):
-        """Ends, restarts or cuts off `count` machines, at random or of a zone; 0: all of them."""
-        there = [
+    async def _fail_machines(self, request):
+        """Ends, restarts or cuts off `count` random machines (0: all), of one zone if `zone` is given."""
+        candidates = [
             machine
             for machine in self.rented.values()
-            if not machine.failed and wanted["zone"] in (None, machine.zone)
+            if not machine.failed and request["zone"] in (None, machine.zone)
         ]
-        count = min(wanted["count"] or len(there), len(there))
-        for machine in self.sim.random.sample(there, count):
-            if wanted["cut_s"]:
-                self._cut.append((machine, wanted["cut_s"]))
-            elif wanted["restart"]:
+        count = min(request["count"] or len(candidates), len(candidates))
+        for machine in self.sim.random.sample(candidates, count):
+            if request["cut_s"]:
+                self._cut.append((machine, request["cut_s"]))
+            elif request["restart"]:
                 self._restarted.append(machine)
             else:
                 machine.failed = True
                 self.ended.append(machine)
-        await self._give_orders()
+        await self._send_commands()
 
-    async def _give_orders(self):
-        """Tells the processes of workers what has changed, and waits until it is so."""
+    async def _send_commands(self):
+        """Sends pending commands to the processes of workers and waits until they are carried out."""
         started, self.started = self.started, []
         ended, self.ended = self.ended, []
         restarted, self._restarted = self._restarted, []
@@ -193,34 +193,34 @@
         if not (started or ended or restarted or cut):
             return
         for host, client in enumerate(self._hosts):
-            mine = lambda machines, host=host: [  # noqa: E731
+            on_host = lambda machines, host=host: [  # noqa: E731
                 machine for machine in machines if self._layout.host_of(machine.number) == host
             ]
-            await self._order(
+            await self._send_command(
                 client,
                 "/scale/workers",
                 {
-                    "start": [machine.order() for machine in mine(started)],
-                    "end": [machine.name for machine in mine(ended)],
-                    "restart": [machine.name for machine in mine(restarted)],
-                    "cut": [(machine.name, cut[machine]) for machine in mine(cut)],
+                    "start": [machine.start_spec() for machine in on_host(started)],
+                    "end": [machine.name for machine in on_host(ended)],
+                    "restart": [machine.name for machine in on_host(restarted)],
+                    "cut": [(machine.name, cut[machine]) for machine in on_host(cut)],
                 },
             )
 
-    async def _order(self, client, path, orders):
-        if not any(orders.values()):
+    async def _send_command(self, client, path, commands):
+        if not any(commands.values()):
             return
-        body = cbor2.dumps(orders)
-        while True:  # an order repeated changes nothing
+        body = cbor2.dumps(commands)
+        while True:  # commands are idempotent, so they can be retried
             try:
-                await client.request("POST", path, body, ORDER_S)
+                await client.request("POST", path, body, COMMAND_TIMEOUT_S)
                 return
             except NoAnswer:
                 await self.loop.sleep(0.1)
 
 
 def main(part, directory):
-    """The process of the state service or of the cloud."""
-    ground = ScaleGround(directory)
-    (ScaleState if part == "state" else ScaleCloud)(ground)
-    ground.loop.run()
+    """Runs the process of the state service or of the cloud."""
+    world = ScaleGround(directory)
+    (ScaleState if part == "state" else ScaleCloud)(world)
+    world.loop.run()
--- a/roadhead/scale/traffic.py
+++ b/roadhead/scale/traffic.py
@@ -1,11 +1,11 @@
-"""Sockets that count the bytes that pass, and that can all be closed at once."""
+"""Network connections that count their bytes and can all be closed at once."""
 
 from roadhead.runtime.loop import Future
 from roadhead.runtime.net import Closed, Net, Stream
 
 
 class Traffic:
-    """Bytes received and sent."""
+    """Counters of bytes received and sent."""
 
     def __init__(self):
         self.received = 0
@@ -18,7 +18,7 @@
     traffic = None
 
     async def read(self):
-        """The next bytes; b"" once the other side closed."""
+        """Returns the next bytes; b"" once the peer has closed."""
         data = await super().read()
         self.traffic.received += len(data)
         return data
@@ -30,7 +30,7 @@
 
 
 class CountedNet(Net):
-    """The network of one hollow worker, or of a whole process. Ends with `close`."""
+    """The network of one hollow worker or of a whole process, usable until `close`."""
 
     def __init__(self, loop, traffic):
         super().__init__(loop, stream=CountedStream)
@@ -39,32 +39,32 @@
         self._closed = False
 
     def listen(self, address, on_stream):
-        """As Net; the streams accepted are counted."""
+        """Listens as Net does; accepted streams are counted."""
 
         def accepted(stream):
-            self._adopt(stream)
+            self._track(stream)
             on_stream(stream)
 
         super().listen(address, accepted)
 
     async def connect(self, address, timeout):
-        """As Net. After `close` it never returns, as on a machine that is gone."""
+        """Connects as Net does. After `close` it never returns, as on a machine that is gone."""
         if self._closed:
             await Future()
         stream = await super().connect(address, timeout)
-        self._adopt(stream)
+        self._track(stream)
         if self._closed:
             stream.close()
             raise Closed
         return stream
 
-    def _adopt(self, stream):
+    def _track(self, stream):
         stream.traffic = self._traffic
-        self._streams = {open_one for open_one in self._streams if not open_one.closed}
+        self._streams = {other for other in self._streams if not other.closed}
         self._streams.add(stream)
 
     def close(self):
-        """Ends all connections and listens no more."""
+        """Closes all connections and stops listening."""
         self._closed = True
         self.stop_listening()
         for stream in self._streams:
