--- a/roadhead/admission/feasibility.py
+++ b/roadhead/admission/feasibility.py
@@ -5,7 +5,7 @@
 from roadhead.jobs.job import size_of
 
 
-def why_never(spec, teams, types, value_bytes):
+def infeasibility(spec, teams, types, value_bytes):
     """Why no machine can ever run the job, for its user, or None if one can.
 
     `teams`: the teams and their limits; `types`: {name: machine type} of the catalogue; `value_bytes`: the
--- a/roadhead/admission/sockets.py
+++ b/roadhead/admission/socket_budget.py
@@ -12,14 +12,14 @@
 # What is left, a tenth, is for the state service, the cloud and the other controllers.
 
 
-class Sockets:
+class SocketBudget:
     """`limit`: sockets that the process may have (`quota.fd_limit` of the settings)."""
 
     def __init__(self, limit, count):
         self.inbound_most = max(4, int(INBOUND * limit))
         self.workers_most = max(1, int(KEPT_WORKERS * limit))
-        self.orders_most = max(2, int(ORDERS * limit))
-        self.orders_kept = int(KEPT_ORDERS * limit)
+        self.max_command_requests = max(2, int(ORDERS * limit))
+        self.max_idle_command_connections = int(KEPT_ORDERS * limit)
         self._count = count
         self._inbound = 0
         self._workers = 0
@@ -40,7 +40,7 @@
         self._workers += 1
         return True
 
-    def gone(self, worker):
+    def release(self, worker):
         """A connection has ended; `worker`: it was kept for one."""
         self._inbound -= 1
         self._workers -= worker
--- a/roadhead/api/answers.py
+++ b/roadhead/api/answers.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from roadhead.runtime.loop import Timeout
-from roadhead.state.client import Conflict, Unavailable, Unsure
+from roadhead.state.client import ConflictError, UnavailableError, UnknownOutcomeError
 from roadhead.wire import messages
 
 UNAVAILABLE = 503  # HTTP status: not known for sure now, or no authority
@@ -25,7 +25,7 @@
 UNSIGNED = Answer(401, messages.error("not signed by a gateway"))
 
 
-class Question(enum.Enum):
+class RequestKind(enum.Enum):
     """What a user asks for; the value names it in counters."""
 
     SUBMISSION = "submission"
@@ -97,14 +97,14 @@
         return error
     if isinstance(error, Timeout):
         return RefusedError(Cause.READ_SLOW)
-    if isinstance(error, Unsure):
+    if isinstance(error, UnknownOutcomeError):
         return RefusedError(Cause.STATE_UNSURE)
-    if isinstance(error, Conflict):
+    if isinstance(error, ConflictError):
         return RefusedError(Cause.CONFLICTS)
     return RefusedError(READ_ERRORS.get(str(error), Cause.STATE_UNAVAILABLE))
 
 
-UNCERTAIN = (RefusedError, Unavailable, Unsure, Conflict, Timeout)
+UNCERTAIN = (RefusedError, UnavailableError, UnknownOutcomeError, ConflictError, Timeout)
 
 
 def counter_of(question, cause):
@@ -116,6 +116,6 @@
     """{counter's name: its text in the summary} for all questions and causes."""
     return {
         counter_of(question, cause): f"{question.value}s answered 503: {TEXTS[cause]}"
-        for question in Question
+        for question in RequestKind
         for cause in Cause
     }
--- a/roadhead/api/cancellation_writer.py
+++ b/roadhead/api/cancellation_writer.py
@@ -3,11 +3,11 @@
 from itertools import islice
 from typing import NamedTuple
 
-from roadhead.jobs.job import FINAL, KEY, closing
+from roadhead.jobs.job import FINAL, KEY, cancelled_record
 from roadhead.jobs.records import find
 from roadhead.pipelines.ancestry import CANCELS
 from roadhead.runtime.loop import Future
-from roadhead.state.client import Conflict, Unavailable, Unsure
+from roadhead.state.client import ConflictError, UnavailableError, UnknownOutcomeError
 
 CANCEL = "c/x/"
 WRITES_EACH = 2  # the record and the mark; the key that says that some job was cancelled is shared
@@ -110,7 +110,7 @@
     async def _read_one(self, job_id, future, records):
         try:
             record, stamp = await find(self._state, job_id)
-        except (Unavailable, Unsure) as error:
+        except (UnavailableError, UnknownOutcomeError) as error:
             future.fail(error)
             return
         if record is None or record["s"] in FINAL:
@@ -119,7 +119,7 @@
             records[job_id] = record, stamp
 
     async def _write(self, batch, records):
-        final = {job_id: closing(record) for job_id, (record, _stamp) in records.items()}
+        final = {job_id: cancelled_record(record) for job_id, (record, _stamp) in records.items()}
         writes = [{"put": CANCELS, "data": next(iter(final))}]
         for job_id, record in final.items():
             writes += [{"put": KEY + job_id, "data": record}, {"put": CANCEL + job_id, "data": True}]
@@ -127,9 +127,9 @@
             revision = await self._state.multi(
                 [(KEY + job_id, stamp) for job_id, (_record, stamp) in records.items()], writes
             )
-        except Conflict as conflict:
+        except ConflictError as conflict:
             self._settle_conflict({job_id: batch[job_id] for job_id in final}, conflict)
-        except (Unavailable, Unsure) as error:
+        except (UnavailableError, UnknownOutcomeError) as error:
             for job_id in final:
                 batch[job_id].fail(error)
         else:
@@ -153,5 +153,5 @@
     """The outcome of one Future becomes another's."""
     try:
         future.set(source.result())
-    except (Conflict, Unavailable, Unsure) as error:
+    except (ConflictError, UnavailableError, UnknownOutcomeError) as error:
         future.fail(error)
--- a/roadhead/api/cancellations.py
+++ b/roadhead/api/cancellations.py
@@ -2,7 +2,7 @@
 
 from roadhead.api.answers import NO_JOB, Answer, Cause, RefusedError
 from roadhead.api.cancellation_writer import CancellationWriter
-from roadhead.state.client import Conflict, Unavailable, Unsure
+from roadhead.state.client import ConflictError, UnavailableError, UnknownOutcomeError
 from roadhead.wire import messages
 from roadhead.wire.messages import JOB_ID
 
@@ -28,17 +28,17 @@
             return NO_JOB
         until = self._loop.now() + self._wait_s
         await self._readiness.until(self._readiness.lacks_membership)
-        if job_id not in self._node.book.finals:
+        if job_id not in self._node.job_store.final_records:
             self._readiness.check_state()
         refused_before = False
         for _ in range(ROUNDS):
             try:
                 return await self._round(job_id)
-            except Conflict:
+            except ConflictError:
                 cause = Cause.CONFLICTS
-            except Unsure:
+            except UnknownOutcomeError:
                 cause = Cause.STATE_UNSURE
-            except Unavailable:
+            except UnavailableError:
                 if refused_before:
                     raise
                 refused_before = True  # beyond the rates: there is room again soon, unless it is an outage
@@ -61,7 +61,7 @@
         if record is None:
             return NO_JOB
         if not revision:
-            self._node.book.remember(job_id, record)
+            self._node.job_store.remember_final(job_id, record)
             return self._states.final_answer(job_id, record)
         self._apply(job_id, record, revision)
         return Answer(200, messages.job_status(job_id, "cancelled"))
@@ -69,7 +69,7 @@
     def _apply(self, job_id, record, revision):
         """The cancellation is durable: its tasks are stopped and the other controllers told."""
         node = self._node
-        node.book.remember(job_id, record)
-        node.shelf.add(job_id, record, revision)
-        node.book.cancelled(job_id, record)
-        node.cancelled([job_id])
+        node.job_store.remember_final(job_id, record)
+        node.archiver.add(job_id, record, revision)
+        node.job_store.cancelled(job_id, record)
+        node.announce_cancelled([job_id])
--- a/roadhead/api/job_states.py
+++ b/roadhead/api/job_states.py
@@ -13,7 +13,7 @@
 
     def final(self, job_id):
         """The Answer on a job known here to be over, or None: what is final needs no look at the record."""
-        record = self._node.book.finals.get(job_id)
+        record = self._node.job_store.final_records.get(job_id)
         return None if record is None else self.final_answer(job_id, record)
 
     def final_answer(self, job_id, record):
@@ -26,7 +26,7 @@
     def _tell_cancelled(self, job_id):
         if not self._node.member.joined:
             raise RefusedError(Cause.NOT_A_MEMBER)
-        self._node.cancelled([job_id])
+        self._node.announce_cancelled([job_id])
 
     async def read(self, job_id):
         """The Answer from the job's record as it is now, or None if there is none. Raises an UNCERTAIN."""
@@ -36,10 +36,10 @@
     def answer(self, job_id, record):
         """The Answer from a record just read, with the counts of its owner if that is this controller."""
         if record["s"] in FINAL:
-            self._node.book.remember(job_id, record)
+            self._node.job_store.remember_final(job_id, record)
             return self.final_answer(job_id, record)
-        self._node.takeover.seen(job_id, record)
-        job = self._node.book.jobs.get(job_id)
+        self._node.failover.on_record_read(job_id, record)
+        job = self._node.job_store.jobs.get(job_id)
         if job is None or job.state != "open":
             return Answer(200, answer(record, job_id))
         return Answer(200, messages.job_status(job_id, job.status(), job.done.count, job.running()))
--- a/roadhead/api/readiness.py
+++ b/roadhead/api/readiness.py
@@ -24,7 +24,9 @@
 
     def lacks_for_submission(self):
         """The Cause for which submissions can't be decided yet, or None."""
-        return self.lacks_membership() or (None if self._node.home.known.types else Cause.TYPES_UNKNOWN)
+        return self.lacks_membership() or (
+            None if self._node.shard_leader.registry.types else Cause.TYPES_UNKNOWN
+        )
 
     def check_state(self):
         """Raises RefusedError if the state service has answered nothing for as long as users wait here: they
@@ -33,7 +35,7 @@
             raise RefusedError(Cause.STATE_UNAVAILABLE)
 
     def _state_fails(self):
-        return self._node.state.failing_s() > self._patience_s
+        return self._node.state.failing_for_s() > self._patience_s
 
     def changed(self):
         """This controller has joined, or knows the machine types."""
--- a/roadhead/api/reports.py
+++ b/roadhead/api/reports.py
@@ -18,16 +18,16 @@
         if not node.member.joined:
             return UNENTITLED
         try:
-            report = messages.read(body, messages.Report)
+            report = messages.decode_as(body, messages.Report)
             report.check()
-        except messages.Invalid as error:
+        except messages.InvalidMessageError as error:
             return Answer(400, messages.error(str(error)))
-        home = node.home_of(report)
+        home = node.leader_for(report)
         if home != node.label:
             return Answer(421, messages.redirect(home))
-        if not node.authority.may_renew():
+        if not node.authority.can_renew_leases():
             return UNENTITLED
-        renewal = node.home.hearing.answer(report)
+        renewal = node.shard_leader.report_processor.answer(report)
         if renewal is None:
             return UNENTITLED
         return Answer(200, messages.report_answer(renewal.token, renewal.orders))
--- a/roadhead/api/server.py
+++ b/roadhead/api/server.py
@@ -10,8 +10,8 @@
     WRONG_METHOD,
     Answer,
     Cause,
-    Question,
     RefusedError,
+    RequestKind,
     counter_of,
     refusal_of,
 )
@@ -28,7 +28,7 @@
 REPORT = "/v1/report"
 READY = "/ready"
 SUMMARY = "/v1/summary"
-SHARES = "/v1/shares"
+SHARD_COUNT = "/v1/shares"
 JOBS = "/v1/jobs"
 USAGE = "/v1/tenants/"
 # What is stored is newer than this version: it touches nothing.
@@ -38,8 +38,9 @@
 
 
 class Api:
-    """Serves connections. `node`: the controller's Node; `sockets`: its admission/sockets.py; `create_s`: for
-    how long a creation is waited for; `patience_s`: for the rest of a request that has begun."""
+    """Serves connections. `node`: the controller's Node; `sockets`: its admission/socket_budget.py;
+    `create_s`: for how long a creation is waited for; `patience_s`: for the rest of a request that has
+    begun."""
 
     def __init__(self, loop, node, sockets, create_s, patience_s):
         self._loop = loop
@@ -74,15 +75,15 @@
         try:
             await http.serve(self._loop, stream, handle, self._patience_s)
         finally:
-            self._sockets.gone(worker)
+            self._sockets.release(worker)
 
     # Routing
 
     async def _handle(self, request):
         """The Answer to a request."""
         path = request.target.partition("?")[0]
-        desk = self._node.desk
-        if desk is not None and path not in OPEN_PATHS and not desk.signed(request):
+        tenant_admission = self._node.tenant_admission
+        if tenant_admission is not None and path not in OPEN_PATHS and not tenant_admission.signed(request):
             return UNSIGNED
         if path == JOBS or path.startswith(JOBS + "/"):
             answer = await self._answer_user(request.method, path, request.body)
@@ -90,10 +91,10 @@
                 # The load balancer passes this controller over, for new connections alone.
                 request.close = True
             return answer
-        if self._node.member.gate.outdated:
+        if self._node.member.format_gate.is_outdated:
             return NEWER_FORMAT.answer()
-        if desk is not None and path.startswith(USAGE) and path[len(USAGE) :].isdigit():
-            return Answer(200, desk.usage(int(path[len(USAGE) :])))
+        if tenant_admission is not None and path.startswith(USAGE) and path[len(USAGE) :].isdigit():
+            return Answer(200, tenant_admission.usage(int(path[len(USAGE) :])))
         return self._answer_operator(request.method, path, request.body)
 
     def _answer_operator(self, method, path, body):
@@ -102,7 +103,7 @@
             REPORT: ("POST", lambda: self._reports.answer(body)),
             READY: ("GET", lambda: Answer(200 if self._node.ready() else UNAVAILABLE)),
             SUMMARY: ("GET", lambda: Answer(200, messages.encode(self._node.summary()))),
-            SHARES: ("GET", lambda: Answer(200, messages.encode(self._node.shares()))),
+            SHARD_COUNT: ("GET", lambda: Answer(200, messages.encode(self._node.shares()))),
         }
         if path not in handlers:
             return NO_PATH
@@ -123,18 +124,18 @@
     # Users
 
     async def _submit(self, body):
-        return await self._sure(Question.SUBMISSION, self._submissions.answer, body)
+        return await self._sure(RequestKind.SUBMISSION, self._submissions.answer, body)
 
     async def _poll(self, job_id):
-        return await self._sure(Question.POLL, self._polls.answer, job_id)
+        return await self._sure(RequestKind.POLL, self._polls.answer, job_id)
 
     async def _cancel(self, job_id):
-        return await self._sure(Question.CANCELLATION, self._cancellations.answer, job_id)
+        return await self._sure(RequestKind.CANCELLATION, self._cancellations.answer, job_id)
 
     async def _sure(self, question, answer, about):
         """What `answer(about)` returns, or 503 if it is not known for sure: never a guess (safety 5)."""
         try:
-            if self._node.member.gate.outdated:
+            if self._node.member.format_gate.is_outdated:
                 raise NEWER_FORMAT
             return await answer(about)
         except UNCERTAIN as error:
--- a/roadhead/api/submissions.py
+++ b/roadhead/api/submissions.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from roadhead.api.answers import Answer, Cause, RefusedError
-from roadhead.jobs.job import before
+from roadhead.jobs.job import awaited_ids
 from roadhead.runtime.loop import Timeout
 from roadhead.wire import messages
 
@@ -35,17 +35,17 @@
         """The Answer to POST /v1/jobs. Raises one of UNCERTAIN."""
         try:
             spec = parse(body)
-        except messages.Invalid as error:
+        except messages.InvalidMessageError as error:
             return Answer(400, messages.error(str(error)))
         if (final := self._states.final(spec.id)) is not None:
             return final
         await self._readiness.until(self._readiness.lacks_for_submission)
-        book = self._node.book
-        if book.knows(spec.id):
+        job_store = self._node.job_store
+        if job_store.knows(spec.id):
             return await self._known(spec.id)
-        if spec.id in book.pending():
+        if spec.id in job_store.pending():
             return await self._join_creation(spec)
-        if spec.upstream and not self._node.member.gate.open:
+        if spec.upstream and not self._node.member.format_gate.is_open:
             raise RefusedError(Cause.FORMAT_GATE, FORMAT_RETRY_S)
         self._readiness.check_state()
         fault, cancelled = await self._fault(spec)
@@ -74,41 +74,41 @@
 
     async def _fault(self, spec):
         """(why the job can never run or None, whether it is cancelled with a job that it needs)."""
-        fault = self._node.impossible(spec)
+        fault = self._node.infeasibility_of(spec)
         if fault or not spec.upstream:
             return fault, False
-        return await self._node.ancestry.admission(spec, self._node.own(spec))
+        return await self._node.ancestry.admission(spec, self._node.visibility_check(spec))
 
     def _tenant_refusal(self, spec):
         """The Answer that keeps the job's tenant to its limits, or None."""
         node = self._node
-        if node.desk is None:
+        if node.tenant_admission is None:
             return None
-        refusal = node.desk.refusal(spec, node.most_creating)
+        refusal = node.tenant_admission.refusal(spec, node.max_creations)
         return refusal and Answer(refusal.status, messages.error(refusal.text), refusal.retry_after)
 
     def _check_backlog(self):
         """Raises RefusedError if the creation could not be written in time."""
         node = self._node
-        if node.member.lapsed():
+        if node.member.lease_may_have_expired():
             raise RefusedError(Cause.LEASE_EXPIRED)
         if node.leaving:
             raise RefusedError(Cause.LEAVING)
-        if node.book.recorder.backlog() > node.most_creating:
+        if node.job_store.recorder.backlog() > node.max_creations:
             raise RefusedError(Cause.TOO_MANY_CREATIONS, BACKLOG_RETRY_S)
 
     async def _create(self, spec, *, cancelled):
         """Waits until the job's record is durable, or found. `cancelled`: with a job that it needs."""
-        book = self._node.book
+        job_store = self._node.job_store
         try:
-            new, record = await self._loop.within(self._create_s, book.create(spec))
+            new, record = await self._loop.within(self._create_s, job_store.create(spec))
         except Timeout:
             raise RefusedError(Cause.CREATION_SLOW) from None
         if new or record is not None:
-            self._node.reader.exists(spec.id)
+            self._node.record_reader.note_existing(spec.id)
         if new:
             if cancelled:
-                book.line.cancelled_above(spec)
+                job_store.dependency_queue.cancel_with_ancestor(spec)
             # It may be over by now, cancelled with a job that it needs.
             known = self._states.final(spec.id)
             return Answer(201, known.body if known else messages.job_status(spec.id, "pending"))
@@ -116,6 +116,6 @@
             return known
         if record is None:
             raise RefusedError(Cause.CREATION_REFUSED)
-        if before(record):  # whether it is cancelled is not in its record alone
+        if awaited_ids(record):  # whether it is cancelled is not in its record alone
             return await self._known(spec.id)
         return self._states.answer(spec.id, record)
--- a/roadhead/cli.py
+++ b/roadhead/cli.py
@@ -194,7 +194,7 @@
     args.directory = tempfile.mkdtemp(prefix="roadhead-") if not args.keep else None
     try:
         return cluster.main(args, [os.path.abspath(sys.argv[0])])
-    except cluster.Failed as error:
+    except cluster.ClusterError as error:
         print(f"roadhead: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
@@ -220,10 +220,10 @@
     """The controller's side of hosting, where a file says so; else None."""
     if not path:
         return None
-    from roadhead.tenants.desk import Desk
+    from roadhead.tenants.admission_controller import TenantAdmissionController
     from roadhead.tenants.settings import load
 
-    return Desk(loop, load(path), time.time)
+    return TenantAdmissionController(loop, load(path), time.time)
 
 
 def serve(settings, tuning, hosted):
--- a/roadhead/cloud/client.py
+++ b/roadhead/cloud/client.py
@@ -2,10 +2,10 @@
 
 from roadhead.runtime.rate import Bucket
 from roadhead.wire import messages
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 
-class CloudTrouble(Exception):
+class CloudError(Exception):
     """No usable answer; `sent` tells whether the request may have been executed."""
 
     def __init__(self, text, sent=True):
@@ -13,7 +13,7 @@
         self.sent = sent
 
 
-class NoCapacity(Exception):
+class NoCapacityError(Exception):
     pass
 
 
@@ -27,27 +27,27 @@
         await self._bucket.take()
         try:
             status, data, _headers = await self._http.request(method, target, body, timeout)
-        except NoAnswer as error:
-            raise CloudTrouble(str(error), error.sent) from None
+        except NoResponseError as error:
+            raise CloudError(str(error), error.sent) from None
         if status == 429:
             self._bucket.empty()
         if status == 503:
             try:
                 why = messages.decode_map(data).get("error")
-            except messages.Invalid:
+            except messages.InvalidMessageError:
                 why = None
             if why == "no capacity":
-                raise NoCapacity
+                raise NoCapacityError
         if status != 200:
-            raise CloudTrouble(f"{method} {target}: {status}", sent=False)
+            raise CloudError(f"{method} {target}: {status}", sent=False)
         return data
 
     async def _read(self, kind, *args):
         data = await self._call(*args)
         try:
-            return messages.read(data, kind)
-        except messages.Invalid as error:
-            raise CloudTrouble(str(error)) from None
+            return messages.decode_as(data, kind)
+        except messages.InvalidMessageError as error:
+            raise CloudError(str(error)) from None
 
     async def catalogue(self):
         answer = await self._read(messages.Catalogue, "GET", "/catalog")
@@ -65,9 +65,9 @@
                 return found
             after = page.machines[-1].id
 
-    async def hire(self, name, kind, zone, spot, count):
+    async def rent(self, name, kind, zone, spot, count):
         body = messages.encode({"hire": name, "rig": kind, "paddock": zone, "loaners": spot, "count": count})
-        answer = await self._read(messages.Rented, "POST", "/hosts", body)
+        answer = await self._read(messages.RentedMachines, "POST", "/hosts", body)
         return answer.machines
 
     async def release(self, machines):
--- a/roadhead/decision_log.py
+++ b/roadhead/decision_log.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class DecisionEntry:
     """One decision. `at`: the time of day in seconds; `subject`: the names of what it is about, such as
     machine, task, shard and token; `evidence`: what it rested on."""
 
@@ -73,7 +73,7 @@
 
     def note(self, decision, subject, **evidence):
         """Notes a decision on `subject`, a map of names, and what it rested on."""
-        entry = Entry(self._time_of_day(), decision, subject, evidence)
+        entry = DecisionEntry(self._time_of_day(), decision, subject, evidence)
         self._entries.append(entry)
         level = logging.INFO if decision in AT_INFO else logging.DEBUG
         if log.isEnabledFor(level):
--- a/roadhead/dispatch/demand.py
+++ b/roadhead/dispatch/demand_broadcast.py
@@ -1,8 +1,8 @@
 """What waits, told to every home and to the renter."""
 
-from roadhead.dispatch.headroom import Part, SharedHeadroom
-from roadhead.fleet.limited import Mark, marked
-from roadhead.fleet.plan import DOUBTFUL
+from roadhead.dispatch.headroom import SharedHeadroom, WaitingTasks
+from roadhead.fleet.provisioning import DOUBTFUL
+from roadhead.fleet.quota_limits import QuotaMark, encode_urgency
 from roadhead.wire import frames
 
 ROWS_MOST = 256  # of a Demand, so that a frame stays far below its bound
@@ -10,13 +10,13 @@
 ON_WORD = 0.25  # of the CPUs that fall to this controller: rented at most on submissions nobody can check
 
 
-class Teller:
+class DemandBroadcaster:
     """`listed()`: how many machines are on the idle list; `again()`: look at what waits once more."""
 
-    def __init__(self, loop, member, book, queue, send, counters, gap_s, listed, again):
+    def __init__(self, loop, member, job_store, queue, send, counters, gap_s, listed, again):
         self._loop = loop
         self._member = member
-        self._book = book
+        self._job_store = job_store
         self._queue = queue
         self._send = send
         self._count = counters.add
@@ -65,12 +65,12 @@
                 self._add_row(rows, part, part.within, part.mark)
             if part.within and part.startable and part.job.rank == first.job.rank and part.job.spec.image:
                 images[part.job.spec.image] = True
-        if self._queue.sharing is not None or any(leads for _shape, _startable, leads in rows):
+        if self._queue.fair_share is not None or any(leads for _shape, _startable, leads in rows):
             rows = dict(sorted(rows.items(), key=lambda item: item[1][3]))
         for part in parts:
             # These come last: where rows are cut, first those that no room is needed for.
-            if part.within < part.count and part.mark is not Mark.PENDING:
-                self._add_row(rows, part, part.count - part.within, Mark.BEYOND)
+            if part.within < part.count and part.mark is not QuotaMark.PENDING:
+                self._add_row(rows, part, part.count - part.within, QuotaMark.BEYOND)
         told = {key: row[0] for key, row in rows.items()}
         if told == self._told:
             return
@@ -115,30 +115,34 @@
     def _all_parts(self):
         """What waits and what will shortly, each with how much of it its team's limit leaves room for."""
         parts = [part for job in self._queue.waiting() for part in self._parts(job, True)]
-        for job in self._book.coming(ON_WORD * self._queue.capacity()):
-            if job.free and not job.doubtful:
+        for job in self._job_store.arriving_jobs(ON_WORD * self._queue.capacity()):
+            if job.unstarted and not job.suspected_faulty:
                 parts += self._parts(job, False)
-        if self._book.quota.has_limits:
+        if self._job_store.quota.has_limits:
             # What is startable comes first, and of that what comes first in the queue.
-            SharedHeadroom(self._book.quota).share(
-                sorted(parts, key=lambda part: (not part.startable, part.place))
+            SharedHeadroom(self._job_store.quota).share(
+                sorted(parts, key=lambda part: (not part.startable, part.queue_position))
             )
         return parts
 
     def _parts(self, job, startable):
         """What waits of a job: the task that leads, and the others; where teams share, what is within its
         team's guarantee, and the rest."""
-        rank = DOUBTFUL if job.doubtful else job.rank
-        count = max(1, job.startable() - job.gathered)
-        if job.leads and startable:
-            first = Part(job, 1, rank, job.place, True, leads=True)
-            return [first, Part(job, count - 1, rank, job.later, True)][:count]
-        if self._queue.sharing is None or not startable:
-            return [Part(job, count, rank, job.place, startable, leads=job.leads)]
-        sure = min(job.sure, count)
+        rank = DOUBTFUL if job.suspected_faulty else job.rank
+        count = max(1, job.startable() - job.reserved_tasks)
+        if job.first_task_leads and startable:
+            first = WaitingTasks(job, 1, rank, job.queue_position, True, first_task_leads=True)
+            return [first, WaitingTasks(job, count - 1, rank, job.borrowed_position, True)][:count]
+        if self._queue.fair_share is None or not startable:
+            return [
+                WaitingTasks(
+                    job, count, rank, job.queue_position, startable, first_task_leads=job.first_task_leads
+                )
+            ]
+        sure = min(job.within_guarantee, count)
         parts = [
-            Part(job, sure, rank, job.place, True),
-            Part(job, count - sure, rank + BORROWED, job.later, True),
+            WaitingTasks(job, sure, rank, job.queue_position, True),
+            WaitingTasks(job, count - sure, rank + BORROWED, job.borrowed_position, True),
         ]
         return [part for part in parts if part.count > 0]
 
@@ -148,11 +152,11 @@
         job = part.job
         work = 0.0 if job.gang else count * job.spec.estimate_s
         slack = self._queue.slack(job)
-        shape = (marked(part.rank, mark), *job.shape[1:])
-        startable = part.startable and mark in (Mark.PLAIN, Mark.WITHIN)
-        row = rows.get((shape, startable, part.leads))
+        shape = (encode_urgency(part.rank, mark), *job.shape[1:])
+        startable = part.startable and mark in (QuotaMark.PLAIN, QuotaMark.WITHIN)
+        row = rows.get((shape, startable, part.first_task_leads))
         if row is None:
-            rows[shape, startable, part.leads] = [count, work, slack, part.place]
+            rows[shape, startable, part.first_task_leads] = [count, work, slack, part.queue_position]
         else:
             row[0] += count
             row[1] += work
--- a/roadhead/dispatch/dispatcher.py
+++ b/roadhead/dispatch/dispatcher.py
@@ -1,25 +1,25 @@
 """A dispatcher: the idle list of granted room, and random placement.
 
-No sockets here: grants come in as calls, frames go out through `send(home, frame)`.
+No sockets here: grants come in as calls, frames go out through `send(leader, frame)`.
 """
 
-from roadhead.dispatch.demand import Teller
-from roadhead.dispatch.gangs import Gathering, seats
-from roadhead.dispatch.queue import Queue
-from roadhead.homes.machine import fits, times
+from roadhead.dispatch.demand_broadcast import DemandBroadcaster
+from roadhead.dispatch.gangs import GangReservations, place_gang
+from roadhead.dispatch.job_queue import JobQueue
+from roadhead.machines.machine import fits, fitting_count
 from roadhead.wire import frames
 
 ROUNDS = 16  # of a placing pass, where teams share
 
 
-class Listing:
+class GrantedMachine:
     """Granted room on the idle list. `unacked`: starts sent that the room does not allow for."""
 
     __slots__ = (
-        "home",
+        "free",
         "id",
         "images",
-        "room",
+        "leader",
         "serial",
         "spot",
         "taken",
@@ -31,7 +31,7 @@
 
     def __init__(self, frame, until):
         self.id = frame.machine
-        self.home = frame.home
+        self.leader = frame.leader
         self.serial = frame.serial
         self.type = frame.type
         self.zone = frame.zone
@@ -39,7 +39,7 @@
         self.images = set()
         self.taken = 0
         self.unacked = []
-        self.room = (0.0, 0.0, 0.0)
+        self.free = (0.0, 0.0, 0.0)
         self.until = until
 
     def update(self, frame, until):
@@ -47,12 +47,12 @@
         self.taken = max(self.taken, frame.taken)
         self.until = until
         self.images = set(frame.images)
-        self.room = (frame.cpus, frame.gpus, frame.memory)
+        self.free = (frame.cpus, frame.gpus, frame.memory)
         for need in self.unacked:
             self._use(need)
 
     def _use(self, need):
-        self.room = tuple(free - part for free, part in zip(self.room, need, strict=True))
+        self.free = tuple(free - part for free, part in zip(self.free, need, strict=True))
 
     def take(self, need):
         self.unacked.append(need)
@@ -61,37 +61,37 @@
 
 class Dispatcher:
     def __init__(
-        self, loop, label, member, book, aims, random, send, counters, gap_s, window_s, default_aim_s
+        self, loop, label, member, job_store, aims, random, send, counters, gap_s, window_s, default_aim_s
     ):
         self._loop = loop
         self.label = label
         self._member = member
-        self._book = book
+        self._job_store = job_store
         self._random = random
         self._send = send
         self._count = counters.add
         self._window_s = window_s
         self.idle = {}  # machine -> Listing
         self._placing = False
-        self.queue = Queue(loop, book, aims, default_aim_s, gap_s, window_s)
+        self.queue = JobQueue(loop, job_store, aims, default_aim_s, gap_s, window_s)
         self.preemption = None  # where teams share by guarantee and weight: who gets room back
-        self._gathering = Gathering(loop, window_s, random, self.changed)
-        self._teller = Teller(
+        self._gathering = GangReservations(loop, window_s, random, self.schedule_placement)
+        self._teller = DemandBroadcaster(
             loop,
             member,
-            book,
+            job_store,
             self.queue,
             send,
             counters,
             gap_s,
             lambda: len(self.idle),
-            self.changed,
+            self.schedule_placement,
         )
         # In a placing pass: listings that may still take a task, and shapes that fit none of them.
         self._open = []
         self._full = set()
 
-    def changed(self):
+    def schedule_placement(self):
         if not self._placing:
             self._placing = True
             self._loop.call_soon(self._place)
@@ -102,26 +102,26 @@
         until = self._loop.now() + frame.lapse_s
         listing = self.idle.get(frame.machine)
         if listing is None or listing.serial != frame.serial:
-            listing = self.idle[frame.machine] = Listing(frame, until)
+            listing = self.idle[frame.machine] = GrantedMachine(frame, until)
             self._count("grants_received")
         listing.update(frame, until)
-        self.changed()
+        self.schedule_placement()
 
     def on_revoke(self, frame):
         listing = self.idle.get(frame.machine)
         if listing is not None and listing.serial <= frame.serial:
             del self.idle[frame.machine]
             self._teller.forget()
-            self.changed()
+            self.schedule_placement()
 
     def on_refused(self, frame):
         listing = self.idle.pop(frame.machine, None)
         self._teller.forget()
         if listing is not None:
-            self._send(listing.home, frames.Return(listing.id, listing.serial, len(self.idle)))
+            self._send(listing.leader, frames.ReturnGrant(listing.id, listing.serial, len(self.idle)))
 
-    def home_down(self, label):
-        for name in [n for n, listing in self.idle.items() if listing.home == label]:
+    def leader_down(self, label):
+        for name in [n for n, listing in self.idle.items() if listing.leader == label]:
             del self.idle[name]
 
     def on_term(self, old, new):
@@ -129,21 +129,21 @@
         if old is None:
             self.idle.clear()
         for name, listing in list(self.idle.items()):
-            if old.place(name) != new.place(name) or old.incarnation(listing.home) != new.incarnation(
-                listing.home
-            ):
+            if old.leader_and_token(name) != new.leader_and_token(name) or old.incarnation(
+                listing.leader
+            ) != new.incarnation(listing.leader):
                 del self.idle[name]
         self._teller.forget()
-        self.changed()
+        self.schedule_placement()
 
     def refresh(self):
         """Says again what waits, in case homes and renter have lost count of it."""
         self._teller.refresh()
 
-    def tell_again(self):
+    def rebroadcast_demand(self):
         """A controller joined or its link came up: it has yet to hear what waits here."""
         self._teller.at_once()
-        self.changed()
+        self.schedule_placement()
 
     # Placing
 
@@ -184,10 +184,11 @@
             self._full.clear()
             self._look_open()
             left = self._place_all(starts)
-            for _ in range(ROUNDS if self.queue.sharing is not None else 0):
+            for _ in range(ROUNDS if self.queue.fair_share is not None else 0):
                 # Whoever borrows gets no further ahead than a quantum before it is the next one's turn.
                 if not self._open or not any(
-                    not job.part and job.room_shape not in self._full for job in self.queue.waiting()
+                    not job.round_allowance and job.placement_key not in self._full
+                    for job in self.queue.waiting()
                 ):
                     break
                 self.queue.refresh(anew=True)
@@ -196,19 +197,19 @@
         self._teller.tell()
         if self.preemption is not None:
             self.preemption.waits(
-                [job for job in self.queue.waiting() if job.sure > 0 and self.may_start(job)]
+                [job for job in self.queue.waiting() if job.within_guarantee > 0 and self.may_start(job)]
             )
 
     def _look_open(self):
         """Listings with room for the smallest of what waits; those kept for gangs are left out."""
         now = self._loop.now()
-        cpus, memory = self.queue.least
+        cpus, memory = self.queue.smallest_task
         kept = self._gathering.kept
         self._open = [
             listing
             for listing in self.idle.values()
-            if listing.room[0] >= cpus - 1e-6
-            and listing.room[2] >= memory - 1e-6
+            if listing.free[0] >= cpus - 1e-6
+            and listing.free[2] >= memory - 1e-6
             and listing.until > now
             and listing.id not in kept
         ]
@@ -226,25 +227,27 @@
                     if job.gang:
                         if with_image and job.startable():
                             self._place_gang(job, starts)
-                    elif job.free.left and job.room_shape not in full:
+                    elif job.unstarted.left and job.placement_key not in full:
                         self._place_job(job, with_image, starts)
             for job in group:
-                if job.room_shape not in full and job.startable() > 0 and self.may_start(job):
-                    left[job.room_shape] = job
+                if job.placement_key not in full and job.startable() > 0 and self.may_start(job):
+                    left[job.placement_key] = job
         return left
 
     def may_start(self, job):
         """Whether its team's limit leaves room for one more task."""
-        if not self._book.quota.limited(job.spec.team):
+        if not self._job_store.quota.limited(job.spec.team):
             return True
-        return times(job.need, self._book.quota.headroom(job.spec.team)) >= (len(job.free) if job.gang else 1)
+        return fitting_count(job.resources, self._job_store.quota.headroom(job.spec.team)) >= (
+            len(job.unstarted) if job.gang else 1
+        )
 
     def _groups(self, waiting):
         """Runs of the queue due at about the same time: there images decide who goes first."""
         group = []
         latest = 0.0
         for job in waiting:
-            place = job.place
+            place = job.queue_position
             if group and place > latest:
                 yield group
                 group = []
@@ -256,25 +259,25 @@
 
     def _fitting(self, job):
         """The open listings that have room for a task of the job."""
-        need = job.need
-        return [listing for listing in self._open if fits(need, listing.room) and self._allowed(job, listing)]
+        need = job.resources
+        return [listing for listing in self._open if fits(need, listing.free) and self._allowed(job, listing)]
 
     def _place_gang(self, job, starts):
         """Starts all of a gang's tasks, or keeps the room there is until there is enough."""
-        if not self.may_start(job) or (self.queue.sharing is not None and job.part <= 0):
+        if not self.may_start(job) or (self.queue.fair_share is not None and job.round_allowance <= 0):
             return
-        chosen, whole = seats(job, self._fitting(job), self._random)
+        chosen, whole = place_gang(job, self._fitting(job), self._random)
         if not whole:
             self._gathering.keep(job, chosen)
             self._look_open()
             return
         self._gathering.started(job)
-        attempt = self._book.attempt()
+        attempt = self._job_store.attempt()
         for listing, count in chosen.items():
             tasks = starts.setdefault(listing.id, {}).setdefault(job, [])
             for _ in range(count):
-                listing.take(job.need)
-                tasks.append(self._book.bind(job, listing.id, listing.zone, attempt))
+                listing.take(job.resources)
+                tasks.append(self._job_store.bind(job, listing.id, listing.zone, attempt))
         self._look_open()
 
     def _place_job(self, job, with_image, starts):
@@ -285,12 +288,12 @@
         fitting = self._fitting(job)
         if not fitting:
             self._count("empty_list")
-            self._full.add(job.room_shape)
+            self._full.add(job.placement_key)
             return
         if with_image and image:
             fitting = [listing for listing in fitting if image in listing.images]
         zoned = job.spec.one_zone or job.spec.spread
-        if fitting and self._fill(job, job.need, zoned, fitting, starts):
+        if fitting and self._fill(job, job.resources, zoned, fitting, starts):
             self._look_open()
 
     def _fill(self, job, need, zoned, fitting, starts):
@@ -298,21 +301,21 @@
         any started. The tasks that share a machine share one fetch of their image.
         """
         spec = job.spec
-        alone = self.queue.sharing is None
+        alone = self.queue.fair_share is None
         left = None
         started = False
-        if self._book.quota.limited(spec.team):
-            left = self._book.quota.headroom(spec.team)
-        while job.free and fitting and (alone or job.part > 0):
+        if self._job_store.quota.limited(spec.team):
+            left = self._job_store.quota.headroom(spec.team)
+        while job.unstarted and fitting and (alone or job.round_allowance > 0):
             place = self._random.randrange(len(fitting))
             listing = fitting[place]
             fitting[place] = fitting[-1]
             fitting.pop()
             tasks = None
-            while job.free and fits(need, listing.room) and (alone or job.part > 0):
+            while job.unstarted and fits(need, listing.free) and (alone or job.round_allowance > 0):
                 if zoned and not self._zone_allowed(job, listing.zone):
                     break
-                if job.doubtful and job.startable() <= 0:
+                if job.suspected_faulty and job.startable() <= 0:
                     return started
                 if left is not None:
                     left = (left[0] - spec.cpus, left[1] - spec.gpus)
@@ -323,12 +326,12 @@
                 listing.take(need)
                 started = True
                 if not alone:
-                    job.part -= 1
-                    job.sure -= job.sure > 0
-                tasks.append(self._book.bind(job, listing.id, listing.zone))
-                if job.leads:
-                    job.leads = False
-                    self._book.version += 1  # the others of its tasks come later
+                    job.round_allowance -= 1
+                    job.within_guarantee -= job.within_guarantee > 0
+                tasks.append(self._job_store.bind(job, listing.id, listing.zone))
+                if job.first_task_leads:
+                    job.first_task_leads = False
+                    self._job_store.version += 1  # the others of its tasks come later
                     return started
         return started
 
@@ -345,7 +348,7 @@
             jobs = starts.get(listing.id)
             if listing.id in opened:
                 useless = not any(
-                    fits(job.need, listing.room) and self._allowed(job, listing) for job in left.values()
+                    fits(job.resources, listing.free) and self._allowed(job, listing) for job in left.values()
                 )
             else:
                 useless = listing.until > now and listing.id not in self._gathering.kept
@@ -363,20 +366,20 @@
                     last -= 1
                     self._start(job, listing, tasks, useless and not last)
             elif useless:
-                self._send(listing.home, frames.Return(listing.id, listing.serial, len(self.idle)))
+                self._send(listing.leader, frames.ReturnGrant(listing.id, listing.serial, len(self.idle)))
 
     def _start(self, job, listing, tasks, last):
         spec = job.spec
         self._send(
-            listing.home,
-            frames.Start(
+            listing.leader,
+            frames.StartTasks(
                 self._member.term.number,
                 listing.id,
                 listing.serial,
                 job.id,
                 tasks,
                 max(0, len(self.idle) - 1),
-                *job.need,
+                *job.resources,
                 spec.image or "",
                 spec.image_gb,
                 spec.save_s,
--- a/roadhead/dispatch/headroom.py
+++ b/roadhead/dispatch/headroom.py
@@ -1,27 +1,27 @@
 """What limits of teams leave room for, shared out among the jobs that wait."""
 
-from roadhead.fleet.limited import Mark
-from roadhead.homes.machine import times
+from roadhead.fleet.quota_limits import QuotaMark
+from roadhead.machines.machine import fitting_count
 
 
-class Part:
+class WaitingTasks:
     """Tasks of a job that wait, of one urgency and place in the queue.
 
-    `startable`: they could start now; `leads`: the first task of a job that comes early. `within`: as many of
-    them as their team's limit leaves room for, `mark`: how it bears on those.
+    `startable`: they could start now; `first_task_leads`: the first task of a job that comes early. `within`:
+    as many of them as their team's limit leaves room for, `mark`: how it bears on those.
     """
 
-    __slots__ = ("count", "job", "leads", "mark", "place", "rank", "startable", "within")
+    __slots__ = ("count", "first_task_leads", "job", "mark", "queue_position", "rank", "startable", "within")
 
-    def __init__(self, job, count, rank, place, startable, *, leads=False):
+    def __init__(self, job, count, rank, place, startable, *, first_task_leads=False):
         self.job = job
         self.count = count
         self.rank = rank
-        self.place = place
+        self.queue_position = place
         self.startable = startable
-        self.leads = leads
+        self.first_task_leads = first_task_leads
         self.within = count
-        self.mark = Mark.PLAIN
+        self.mark = QuotaMark.PLAIN
 
 
 class SharedHeadroom:
@@ -45,8 +45,8 @@
     def _mark(self, team):
         levels = self._levels[team]
         if levels is None or not self._quota.counted(team):
-            return Mark.PENDING
-        return Mark.PLAIN if self._cut.isdisjoint(levels) else Mark.WITHIN
+            return QuotaMark.PENDING
+        return QuotaMark.PLAIN if self._cut.isdisjoint(levels) else QuotaMark.WITHIN
 
     def _take(self, job, wanted):
         levels = self._levels_of(job.spec.team)
@@ -54,10 +54,10 @@
             return 0
         if job.gang and job in self._gangs:
             return wanted if self._gangs[job] else 0
-        least = max(wanted, len(job.free)) if job.gang else 1
+        least = max(wanted, len(job.unstarted)) if job.gang else 1
         most = max(wanted, least)
         for name in levels:
-            room = times(job.need, self._left[name])
+            room = fitting_count(job.resources, self._left[name])
             if room < most:
                 self._cut.add(name)
                 most = room
--- a/roadhead/dispatch/queue.py
+++ b/roadhead/dispatch/job_queue.py
@@ -8,7 +8,7 @@
 import math
 from bisect import insort
 
-from roadhead.jobs.book import LARGER_PART
+from roadhead.jobs.job_store import LARGER_PART
 
 NO_AIMS = ((), (), ())
 HOPE = 0.7  # of the estimated run time: less than that left, and an aim is taken for lost
@@ -25,14 +25,14 @@
 JOBS_A_GAP = 2000  # put in order at once; with more than that the order is kept longer
 
 
-class Queue:
+class JobQueue:
     """`gap_s`: how long an order is kept, `window_s`: what is due within it of one another is equally
     urgent, `capacity()`: CPUs that fall to this controller. `aims`: class -> (seconds to be complete
     within, times of its deadline, seconds to start within)."""
 
-    def __init__(self, loop, book, aims, default_aim_s, gap_s, window_s):
+    def __init__(self, loop, job_store, aims, default_aim_s, gap_s, window_s):
         self._loop = loop
-        self._book = book
+        self._job_store = job_store
         self._aims = aims
         self._default_aim_s = default_aim_s
         self._gap_s = gap_s
@@ -40,10 +40,10 @@
         self._order = []  # open jobs, as of `_ordered_at`, and those that arrived since
         self._ordered_at = -1e9
         self._ordered = 0  # the book's version then
-        self.least = (0.0, 0.0)  # (cpus, memory): no task waiting takes less
+        self.smallest_task = (0.0, 0.0)  # (cpus, memory): no task waiting takes less
         self.time_of_day = None
         self.capacity = lambda: 0.0
-        self.sharing = None  # where teams share by guarantee and weight: the order among them
+        self.fair_share = None  # where teams share by guarantee and weight: the order among them
 
     def slack(self, job):
         """Seconds until its tasks must start."""
@@ -58,7 +58,7 @@
         that never had an aim gets the room that would lie idle.
         """
         since = self.time_of_day() - job.accepted_at
-        aims = job.aims
+        aims = job.targets
         if aims is None:
             within, times, waits = self._aims.get(job.spec.klass, NO_AIMS)
             due_s = job.spec.due_s
@@ -67,7 +67,7 @@
             run_s = job.spec.estimate_s
             held_s = job.released_at - job.accepted_at  # by jobs that it needs: all but its deadline waits
             # (latest start, when it is taken for lost)
-            aims = job.aims = sorted(
+            aims = job.targets = sorted(
                 [
                     *(
                         (aim - run_s, aim - HOPE * run_s)
@@ -89,8 +89,8 @@
     def _set_place(self, job):
         """(slack, seconds to the next aim) of the job, which gets its place; the less, the earlier."""
         slack, later = self._aim(job)
-        tier = TIER_DOUBTFUL if job.doubtful else TIERS[job.rank]
-        job.place = slack + (tier * TIER_STEP + job.rank * RANK_STEP) * self._window_s
+        tier = TIER_DOUBTFUL if job.suspected_faulty else TIERS[job.rank]
+        job.queue_position = slack + (tier * TIER_STEP + job.rank * RANK_STEP) * self._window_s
         return slack, later
 
     def _put_in_order(self):
@@ -104,13 +104,13 @@
         back for the sake of the less urgent.
         """
         capacity = max(1e-6, self.capacity())
-        lifted, leading = self._lifted() if self.sharing is None else ({}, {})
+        lifted, leading = self._lifted() if self.fair_share is None else ({}, {})
         jobs = []
-        for job in self._book.jobs.values() if self.sharing is None else self.sharing.candidates():
+        for job in self._job_store.jobs.values() if self.fair_share is None else self.fair_share.candidates():
             slack, later = self._set_place(job)
-            job.place, job.leads = lifted.get(job, job.place), False
-            size = 0.0 if job.doubtful else job.spec.cpus * job.spec.estimate_s
-            jobs.append((job.place, slack, len(job.free) * size / capacity, later, job))
+            job.queue_position, job.first_task_leads = lifted.get(job, job.queue_position), False
+            size = 0.0 if job.suspected_faulty else job.spec.cpus * job.spec.estimate_s
+            jobs.append((job.queue_position, slack, len(job.unstarted) * size / capacity, later, job))
         jobs.sort(key=lambda entry: entry[0])
         ready_s = 0.0
         kept = {}  # rank -> heap of (-cost, number)
@@ -118,7 +118,7 @@
             if not needs_s:
                 continue
             ready_s += needs_s
-            cost = needs_s * self._book.seen.get(job.spec.klass, 1)
+            cost = needs_s * self._job_store.jobs_seen.get(job.spec.klass, 1)
             heapq.heappush(kept.setdefault(job.rank, []), (-cost, number))
             while ready_s > slack:
                 heap = min((heap for rank, heap in kept.items() if rank >= job.rank and heap), default=None)
@@ -126,19 +126,19 @@
                     break
                 _cost, back = heapq.heappop(heap)
                 ready_s -= jobs[back][2]
-                jobs[back][4].place += jobs[back][3]  # to its next aim
+                jobs[back][4].queue_position += jobs[back][3]  # to its next aim
                 if back == number:
                     break
         for job, place in leading.items():
-            job.later, job.place, job.leads = job.place, place, True
-        self._order = sorted((entry[4] for entry in jobs), key=lambda job: job.place)
-        self.least = (
+            job.borrowed_position, job.queue_position, job.first_task_leads = job.queue_position, place, True
+        self._order = sorted((entry[4] for entry in jobs), key=lambda job: job.queue_position)
+        self.smallest_task = (
             min((job.spec.cpus for job in self._order), default=0.0),
             min((job.spec.memory for job in self._order), default=0.0),
         )
-        if self.sharing is not None:
-            self.sharing.arrange(list(self.waiting()))
-            self._order.sort(key=lambda job: job.place)
+        if self.fair_share is not None:
+            self.fair_share.assign_positions(list(self.waiting()))
+            self._order.sort(key=lambda job: job.queue_position)
 
     def _lifted(self):
         """({job: its place}, {job: the place of its first task}): the exceptions to urgency, by which of each
@@ -153,18 +153,20 @@
         since = now - STARVED_AIMS * self._default_aim_s
         begun_by = now - LARGEST_WAITS * self._window_s
         old, places, leading = {}, {}, {}
-        for job in self._book.jobs.values():
-            if job.released_at >= begun_by or job.state != "open" or job.doubtful:
+        for job in self._job_store.jobs.values():
+            if job.released_at >= begun_by or job.state != "open" or job.suspected_faulty:
                 continue
             if job.released_at < since:
                 for key in ("class", job.spec.klass), ("team", job.spec.team):
                     old.setdefault(key, []).append(job)
-            if job.released_at < begun_by - LARGEST_WAITS * self._window_s and self._book.among_largest(job):
+            if job.released_at < begun_by - LARGEST_WAITS * self._window_s and self._job_store.among_largest(
+                job
+            ):
                 old.setdefault(("largest", job.spec.klass), []).append(job)
-            if not job.bound and not job.done.count and self._book.among_largest(job, LARGER_PART):
+            if not job.bound and not job.done.count and self._job_store.among_largest(job, LARGER_PART):
                 leading[job] = TIER_STARVED * TIER_STEP * self._window_s + job.released_at - since
         for key, waiting in old.items():
-            served = self._book.served.get(key, 0)
+            served = self._job_store.jobs_done.get(key, 0)
             lacking = SERVED_LEAST * (served + len(waiting)) - served
             if lacking <= 0:
                 continue
@@ -178,21 +180,24 @@
     def refresh(self, anew=False):
         """What is due grows alike for most jobs, so the order is kept for a while; `anew`: not now."""
         now = self._loop.now()
-        arrived = self._book.arrived
+        arrived = self._job_store.new_jobs
         kept_s = self._gap_s * max(1.0, len(self._order) / JOBS_A_GAP)
         if (
             anew
-            or self._ordered != self._book.version
+            or self._ordered != self._job_store.version
             or now - self._ordered_at > kept_s
-            or (arrived and self.sharing is not None)
+            or (arrived and self.fair_share is not None)
         ):
             self._put_in_order()
-            self._ordered, self._ordered_at = self._book.version, now
+            self._ordered, self._ordered_at = self._job_store.version, now
         else:
             for job in arrived:
                 self._set_place(job)
-                insort(self._order, job, key=lambda job: job.place)
-                self.least = min(self.least[0], job.spec.cpus), min(self.least[1], job.spec.memory)
+                insort(self._order, job, key=lambda job: job.queue_position)
+                self.smallest_task = (
+                    min(self.smallest_task[0], job.spec.cpus),
+                    min(self.smallest_task[1], job.spec.memory),
+                )
         arrived.clear()
 
     def waiting(self):
@@ -200,10 +205,10 @@
         now = self._loop.now()
         for job in self._order:
             if (
-                job.free.left
+                job.unstarted.left
                 and job.state == "open"
-                and not job.unsynced
-                and not job.adopting
+                and not job.unreconciled_leaders
+                and not job.taking_over
                 and job.not_before <= now
                 and job.startable() > 0
             ):
--- a/roadhead/dispatch/aims.py
+++ b/roadhead/dispatch/targets.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class ClassAims(NamedTuple):
+class ClassTargets(NamedTuple):
     """Of a class, each in the order of the settings. `within`: seconds in which a job shall be finished;
     `times`: multiples of a job's own due time; `waits`: seconds in which its tasks shall start."""
 
@@ -12,7 +12,7 @@
     waits: list
 
 
-def shortest_aims(objectives):
+def shortest_targets(objectives):
     """{class: the shortest time in seconds that any objective of it names}."""
     aims = {}
     for objective in objectives:
@@ -21,11 +21,11 @@
     return aims
 
 
-def class_aims(objectives):
-    """{class: its ClassAims}."""
+def class_targets(objectives):
+    """{class: its ClassTargets}."""
     found = {}
     for objective in objectives:
-        aims = found.setdefault(objective.klass, ClassAims([], [], []))
+        aims = found.setdefault(objective.klass, ClassTargets([], [], []))
         if objective.kind == "finished" and objective.within_s:
             aims.within.append(objective.within_s)
         elif objective.kind == "wait" and objective.within_s:
--- a/roadhead/fleet/fleet.py
+++ b/roadhead/fleet/fleet.py
@@ -2,11 +2,11 @@
 
 import logging
 
-from roadhead.cloud.client import CloudTrouble, NoCapacity
-from roadhead.fleet.limited import JustUp, Mark, SteadyRoom, returnable
-from roadhead.fleet.plan import Want, offers, plan
+from roadhead.cloud.client import CloudError, NoCapacityError
+from roadhead.fleet.provisioning import ResourceRequest, instance_offers, plan_machines
+from roadhead.fleet.quota_limits import QuotaMark, RecentlyBooted, SustainedHeadroom, returnable_count
 from roadhead.runtime.loop import Signal
-from roadhead.shares.hashing import pick
+from roadhead.shards.hashing import rendezvous_choice
 
 log = logging.getLogger("roadhead.fleet")
 
@@ -23,7 +23,7 @@
         self._loop = loop
         self._cloud = cloud
         self._member = member
-        self._home = home
+        self._shard_leader = home
         self._zones = deployment.zones
         self._lag_s = deployment.cloud.list_lag_s
         self._lease_s = deployment.workers.lease_s
@@ -37,11 +37,11 @@
         self.types = {}
         self.on_types = lambda: None  # called when they have become known
         self.demand = {}  # label -> rows of its newest Demand
-        self.fleet = {}  # label -> rows of its newest HomeNews
+        self.machine_counts = {}  # label -> rows of its newest MachineCounts
         self.running = []  # addresses of the machines last listed as running
         self._hired = {}  # machine -> (shape key, when), until it is listed as running
-        self._just_up = JustUp(SETTLED_LAGS * self._lag_s)
-        self._steady = SteadyRoom(SETTLED_LAGS * self._lag_s)
+        self._just_up = RecentlyBooted(SETTLED_LAGS * self._lag_s)
+        self._steady = SustainedHeadroom(SETTLED_LAGS * self._lag_s)
         self._refused = {}  # shape key -> (until, how often)
         self._names = 0
         self._moved = {}  # what waits -> (tasks, when that number last fell)
@@ -58,9 +58,9 @@
         while True:
             try:
                 self.types = await self._cloud.catalogue()
-                self._home.known.types = self.types
+                self._shard_leader.registry.types = self.types
                 self.on_types()
-            except CloudTrouble as error:
+            except CloudError as error:
                 log.info("catalogue: %s", error)
             # Spot prices move slowly; an empty catalogue is asked for again soon.
             await self._loop.sleep(5 * self._lease_s if self.types else self._lag_s / 3)
@@ -72,20 +72,22 @@
             asked_at = self._loop.now()
             try:
                 listed = await self._cloud.machines()
-            except (CloudTrouble, NoCapacity) as error:
+            except (CloudError, NoCapacityError) as error:
                 log.info("list: %s", error)
                 await self._loop.sleep(self._lag_s / 2)
                 continue
             if self._member.joined:
                 self._listed(listed, asked_at)
-            pause_s = self._lag_s if not self._home.reconciliation.clean() else 2 * self._lag_s
-            cover_at = self._home.reconciliation.cover_at()
+            pause_s = (
+                self._lag_s if not self._shard_leader.reconciliation.is_reconciled() else 2 * self._lag_s
+            )
+            cover_at = self._shard_leader.reconciliation.next_list_at()
             if cover_at is not None:
                 pause_s = min(pause_s, cover_at - self._loop.now() + EARLY_S)
             await self._loop.sleep(pause_s)
 
     def _listed(self, listed, asked_at):
-        home = self._home
+        home = self._shard_leader
         term = self._member.term
         now = self._loop.now()
         names = set()
@@ -101,12 +103,12 @@
                     self._just_up.add(item.id, hired[0], now)
             elif item.id not in self._hired:
                 self._hired[item.id] = ((item.type, item.zone, item.spot), now - item.age_s)
-            if term.home(item.id) == self._member.label:
+            if term.leader_of(item.id) == self._member.label:
                 mine.append(item)
         for name, (_key, since) in list(self._hired.items()):
             if name not in names and asked_at > since + 2 * self._lag_s:
                 del self._hired[name]
-        failed = home.covered(mine, asked_at)
+        failed = home.apply_machine_list(mine, asked_at)
         if failed:
             self.release(failed)
         stuck = []
@@ -129,7 +131,7 @@
             known_at = max(machine.heard_at or 0.0, machine.listed_at or 0.0)
             if asked_at > known_at + 2 * self._lag_s * 1.01:
                 stuck.append(machine.id)
-        stuck += home.reconciliation.vanished(names, asked_at)
+        stuck += home.reconciliation.missing_machines(names, asked_at)
         if stuck:
             self.release(stuck)
 
@@ -140,7 +142,7 @@
         names = [name for name in names if name not in self._releasing]
         for name in names:
             self._releasing.add(name)
-            machine = self._home.machines.get(name)
+            machine = self._shard_leader.machines.get(name)
             if machine is not None:
                 machine.draining = True
         for at in range(0, len(names), RELEASE_MOST):
@@ -149,30 +151,30 @@
     async def _release(self, names):
         try:
             await self._cloud.release(names)
-        except (CloudTrouble, NoCapacity) as error:
+        except (CloudError, NoCapacityError) as error:
             log.info("release: %s", error)
             await self._loop.sleep(self._lag_s)
         else:
             self._count("machines_released", len(names))
             for name in names:
                 self._hired.pop(name, None)
-                machine = self._home.machines.get(name)
+                machine = self._shard_leader.machines.get(name)
                 if machine is not None:
-                    self._home.machine_gone(machine, "released")
+                    self._shard_leader.machine_gone(machine, "released")
                 else:
-                    self._home.unknown_gone(name)
+                    self._shard_leader.unregistered_machine_gone(name)
         finally:
             self._releasing.difference_update(names)
 
     def return_idle(self):
-        ratio = self._tuning.idle_ratio * (SOONER if self._home.plenty() else 1.0)
+        ratio = self._tuning.idle_ratio * (SOONER if self._shard_leader.has_spare_capacity() else 1.0)
 
         def idle_s(machine):
             boot_s = machine.kind.boot_s if machine.kind is not None else self._lease_s
             return ratio * boot_s
 
-        machines = self._home.idle(idle_s)
-        count = returnable(len(machines), self._told(), self.fleet, self.types)
+        machines = self._shard_leader.idle(idle_s)
+        count = returnable_count(len(machines), self._told(), self.machine_counts, self.types)
         if count:
             self.release([machine.id for machine in machines[:count]])
 
@@ -193,7 +195,7 @@
     def totals(self):
         """(cpus, gpus, memory) of all machines heard of."""
         cpus = gpus = memory = 0.0
-        for rows in self.fleet.values():
+        for rows in self.machine_counts.values():
             for type_name, _zone, _spot, count, *_free in rows:
                 kind = self.types.get(type_name)
                 if kind is not None:
@@ -208,8 +210,8 @@
     def renter(self):
         return (
             self._member.joined
-            and not self._member.lapsed()
-            and pick(self._member.term.members, "renter") == self._member.label
+            and not self._member.lease_may_have_expired()
+            and rendezvous_choice(self._member.term.members, "renter") == self._member.label
         )
 
     def _told(self):
@@ -230,7 +232,9 @@
             key = (rank, mark, cpus, gpus, memory, spot, zone, tuple(types), klass)
             want = wants.get(key)
             if want is None:
-                want = Want(rank, cpus, gpus, memory, count, spot, zone, types, estimate_s, wait_s, mark)
+                want = ResourceRequest(
+                    rank, cpus, gpus, memory, count, spot, zone, types, estimate_s, wait_s, mark
+                )
                 wants[key] = want
             else:
                 total = want.count + count
@@ -240,7 +244,7 @@
         now = self._loop.now()
         moved = {}
         for key, want in wants.items():
-            if want.mark is Mark.BEYOND:
+            if want.mark is QuotaMark.BEYOND:
                 continue
             count, since = self._moved.get(key, (want.count, now))
             if want.count < count or self._hired:
@@ -260,7 +264,7 @@
                 continue
             try:
                 await self._rent_once()
-            except CloudTrouble as error:
+            except CloudError as error:
                 log.info("hire: %s", error)
                 await self._loop.sleep(self._lag_s)
             await self._loop.sleep(self._lag_s / 6)
@@ -273,7 +277,7 @@
             coming[key] = coming.get(key, 0) + 1
         machines, idle = {}, {}
         busy = 0.0
-        for rows in self.fleet.values():
+        for rows in self.machine_counts.values():
             for type_name, zone, spot, count, empty, free_cpus, _gpus, _memory in rows:
                 key = (type_name, zone, spot)
                 machines[key] = machines.get(key, 0) + count
@@ -285,9 +289,9 @@
             machines[key] = max(0, machines.get(key, 0) - count)
         size = sum(machines.values()) + len(self._hired)
         wants = self._wants()
-        orders = plan(
+        orders = plan_machines(
             wants,
-            offers(self.types, self._zones),
+            instance_offers(self.types, self._zones),
             machines,
             idle,
             busy,
@@ -304,7 +308,7 @@
             name = f"r-{self._member.incarnation}-{self._names}"
             try:
                 names = await self._hire(name, shape, count)
-            except NoCapacity:
+            except NoCapacityError:
                 names = []
             if len(names) < count:
                 times = self._refused.get(shape.key, (0, 0))[1] + 1
@@ -331,8 +335,8 @@
         """Hires once, whatever gets lost on the way: the same name rents nothing twice."""
         for left in (2, 1, 0):
             try:
-                return await self._cloud.hire(name, shape.kind.name, shape.zone, shape.spot, count)
-            except CloudTrouble:
+                return await self._cloud.rent(name, shape.kind.name, shape.zone, shape.spot, count)
+            except CloudError:
                 if not left:
                     raise
                 await self._loop.sleep(self._lag_s / 3)
--- a/roadhead/fleet/plan.py
+++ b/roadhead/fleet/provisioning.py
@@ -1,11 +1,11 @@
 """How many machines of which kind to rent: pure decisions."""
 
-from roadhead.fleet.limited import Mark
+from roadhead.fleet.quota_limits import QuotaMark
 
 DOUBTFUL = 4  # urgency of jobs that fail wherever they run, after those of the protocol
 
 
-class Shape:
+class InstanceOffer:
     """One kind of machine on offer: a type in a zone, spot or ordinary."""
 
     __slots__ = ("kind", "price", "spot", "zone")
@@ -21,10 +21,10 @@
         return self.kind.name, self.zone, self.spot
 
 
-def offers(types, zones):
+def instance_offers(types, zones):
     """Every shape that the catalogue offers, in the zones it names."""
     return [
-        Shape(kind, zone, spot)
+        InstanceOffer(kind, zone, spot)
         for kind in types.values()
         for zone in kind.zones or zones
         for spot in (True, False)
@@ -32,7 +32,7 @@
     ]
 
 
-class Want:
+class ResourceRequest:
     """Waiting tasks of one shape, summed over controllers. `stuck`: none of it started for long; `mark`: how
     a limit of its team bears on it."""
 
@@ -52,7 +52,7 @@
     )
 
     def __init__(
-        self, rank, cpus, gpus, memory, count, spot, zone, types, estimate_s, wait_s, mark=Mark.PLAIN
+        self, rank, cpus, gpus, memory, count, spot, zone, types, estimate_s, wait_s, mark=QuotaMark.PLAIN
     ):
         self.rank = rank
         self.mark = mark
@@ -86,7 +86,7 @@
         return most
 
 
-def plan(wants, shapes, machines, idle, busy, coming, refused, largest, patience, fresh=None):
+def plan_machines(wants, shapes, machines, idle, busy, coming, refused, largest, patience, fresh=None):
     """[(shape, count)] to rent, so that waiting work drains in time.
 
     `machines`: {shape key: machines up}; `idle`: {shape key: those of them with nothing on them};
@@ -106,7 +106,7 @@
     just_up = {key: float(count) for key, count in (fresh or {}).items() if key in by_key}
     backlog = 0.0  # of what comes first, in seconds of a machine of the cheapest shape
     beyond = 0.0  # the same of what waits beyond limits
-    for want in sorted(wants, key=lambda want: (want.rank, want.mark is not Mark.BEYOND, want.wait_s)):
+    for want in sorted(wants, key=lambda want: (want.rank, want.mark is not QuotaMark.BEYOND, want.wait_s)):
         usable = sorted(
             ((shape.price / slots, shape.key, slots) for shape in shapes if (slots := want.slots(shape))),
         )
@@ -120,12 +120,12 @@
         ):
             continue  # it is tried on what there is
         cheapest, _key, per_machine = usable[0]
-        if want.mark is Mark.BEYOND:
+        if want.mark is QuotaMark.BEYOND:
             beyond += want.count * want.estimate_s / per_machine
             continue
         # Machines on their way serve what comes first.
         left = _served(want, float(want.count), spare, by_key)
-        if want.mark is Mark.WITHIN:
+        if want.mark is QuotaMark.WITHIN:
             left = _served(want, _served(want, left, just_up, by_key), unused, by_key)
         backlog += want.count * want.estimate_s / per_machine
         up = sum(count * want.slots(by_key[key]) for key, count in machines.items() if key in by_key)
@@ -145,7 +145,7 @@
                 # It will not drain, but nothing need be rented for what empty machines take.
                 short = _served(want, left, unused, by_key)
             elif want.estimate_s > 0:
-                first = backlog + beyond if want.mark is Mark.WITHIN else backlog
+                first = backlog + beyond if want.mark is QuotaMark.WITHIN else backlog
                 needed = first * per_machine / max(1e-3, wait_s)
                 short = min(left, needed - arriving - up * max(0.0, 1 - running / wait_s))
             count = min(-int(-max(0.0, short - 1e-6) // slots), largest)
--- a/roadhead/fleet/limited.py
+++ b/roadhead/fleet/quota_limits.py
@@ -10,7 +10,7 @@
 URGENCIES = 10  # an urgency is below that, also of work that borrows
 
 
-class Mark(IntEnum):
+class QuotaMark(IntEnum):
     """How a limit bears on a row of waiting tasks."""
 
     PLAIN = 0  # no limit keeps any of the team's tasks from starting
@@ -19,25 +19,25 @@
     PENDING = 3  # within the limit, but it isn't known yet what else of the team still runs
 
 
-def marked(rank, mark):
+def encode_urgency(rank, mark):
     """The urgency of a row in a Demand frame."""
     return rank + URGENCIES * mark
 
 
-def unmarked(urgency):
+def decode_urgency(urgency):
     """(urgency of the job, mark) of a row in a Demand frame."""
     mark, rank = divmod(urgency, URGENCIES)
-    return rank, Mark(mark)
+    return rank, QuotaMark(mark)
 
 
-def returnable(idle, told, fleet, types):
+def returnable_count(idle, told, fleet, types):
     """How many of `idle` machines may go back: not those for tasks that start as soon as it is known
     what else of their team still runs. Every home keeps the same part of its own.
 
-    `told`: {label: rows of a Demand}, `fleet`: {label: rows of a HomeNews}, `types`: the catalogue.
+    `told`: {label: rows of a Demand}, `fleet`: {label: rows of a MachineCounts}, `types`: the catalogue.
     """
     rows = [row for rows in told.values() for row in rows]
-    pending = sum(row[1] * row[4] for row in rows if unmarked(row[0])[1] is Mark.PENDING)
+    pending = sum(row[1] * row[4] for row in rows if decode_urgency(row[0])[1] is QuotaMark.PENDING)
     if not pending:
         return idle
     rows = [row for rows in fleet.values() for row in rows if row[0] in types]
@@ -45,7 +45,7 @@
     return int(idle * max(0.0, 1.0 - pending / empty)) if empty > 0 else 0
 
 
-class JustUp:
+class RecentlyBooted:
     """Machines that came up within the last `window_s`: what starts there may still be told of as waiting."""
 
     def __init__(self, window_s):
@@ -67,7 +67,7 @@
     return cpus or gpus or 1.0
 
 
-class SteadyRoom:
+class SustainedHeadroom:
     """The room that limits left throughout the last `window_s`, by controller.
 
     Between the end of a task and the next start on its machine there is room within the limit, and
@@ -82,21 +82,21 @@
         """[(urgency, mark, the rest of its row)] of what machines are needed for. `told`: {label: rows}."""
         found = []
         for label, rows in told.items():
-            rows = [(*unmarked(row[0]), *row[1:]) for row in rows]
-            if any(row[1] is not Mark.PLAIN for row in rows):
+            rows = [(*decode_urgency(row[0]), *row[1:]) for row in rows]
+            if any(row[1] is not QuotaMark.PLAIN for row in rows):
                 rows = self._at_limit(label, rows, now)
             else:
                 self._seen.pop(label, None)
-            found += [row for row in rows if row[1] is not Mark.PENDING]
+            found += [row for row in rows if row[1] is not QuotaMark.PENDING]
         return found
 
     def _at_limit(self, label, rows, now):
         """The rows, with as much within limits as there was room for all the time."""
-        cpus = sum(size(*row[2:4]) * row[5] for row in rows if row[1] is Mark.WITHIN)
+        cpus = sum(size(*row[2:4]) * row[5] for row in rows if row[1] is QuotaMark.WITHIN)
         left = self._least(label, cpus, now)
         kept = []
         for row in rows:
-            if row[1] is Mark.WITHIN:
+            if row[1] is QuotaMark.WITHIN:
                 count = min(row[5], int(left / size(*row[2:4]) + 1e-6))
                 left -= count * size(*row[2:4])
                 row = (*row[:5], count, *row[6:])
--- a/roadhead/gateway/admin_api.py
+++ b/roadhead/gateway/admin_api.py
@@ -2,7 +2,7 @@
 
 import re
 
-from roadhead.gateway.answers import NOT_SURE, UNKNOWN_KEY, Refused
+from roadhead.gateway.answers import NOT_SURE, UNKNOWN_KEY, ProblemError
 from roadhead.gateway.routes import Route, Routes
 from roadhead.gateway.tenants_api import authenticate
 from roadhead.gateway.types import (
@@ -17,7 +17,7 @@
     TenantView,
     Usage,
 )
-from roadhead.state.client import Conflict, Unavailable, Unsure
+from roadhead.state.client import ConflictError, UnavailableError, UnknownOutcomeError
 from roadhead.tenants.ids import MOST_TENANTS
 from roadhead.tenants.records import (
     ADMIN_SCOPES,
@@ -27,11 +27,11 @@
     REMOVED,
     REMOVING,
     TENANT_SCOPES,
-    Contradiction,
+    InvalidTenantError,
     Tenant,
     from_record,
-    key_of,
-    transit,
+    tenant_key,
+    transition,
 )
 
 READ, WRITE, KEYS = ADMIN_SCOPES
@@ -121,10 +121,10 @@
         request_key = request.request_key()
         try:
             return await getattr(self, f"_{route.name}")(request, request_key, **values)
-        except (Unavailable, Unsure):
+        except (UnavailableError, UnknownOutcomeError):
             raise NOT_SURE from None
-        except Contradiction as error:
-            raise Refused(422, "what is asked for contradicts itself", faults=error.faults) from None
+        except InvalidTenantError as error:
+            raise ProblemError(422, "what is asked for contradicts itself", faults=error.faults) from None
 
     def _authorize(self, text, scope):
         if self._secrets.is_root(text):
@@ -133,7 +133,7 @@
         if entry.tenant.number != ADMINISTRATORS:
             raise UNKNOWN_KEY  # a tenant's key is unknown here
         if scope not in key.scopes:
-            raise Refused(403, f"the key's scopes do not hold {scope!r}")
+            raise ProblemError(403, f"the key's scopes do not hold {scope!r}")
 
     # Reading
 
@@ -145,17 +145,17 @@
             else (None, 0)
         )
         if number is None:
-            raise Refused(404, "no such tenant")
+            raise ProblemError(404, "no such tenant")
         tenant, stamp = await self._load_number(number)
         if tenant.state == REMOVED:
-            raise Refused(410, "the tenant is removed")
+            raise ProblemError(410, "the tenant is removed")
         return tenant, stamp
 
     async def _load_number(self, number):
-        record, stamp = await self._state.get(key_of(number))
+        record, stamp = await self._state.get(tenant_key(number))
         if record is None:
             raise NOT_SURE
-        self._table.take(key_of(number), record, stamp)
+        self._table.take(tenant_key(number), record, stamp)
         return from_record(record), stamp
 
     async def _show(self, _request, _key, name):
@@ -166,7 +166,7 @@
         limit = request.count("limit", 100, 500)
         after = request.query.get("after", "0")
         if not after.isdigit():
-            raise Refused(400, "after: what a page gave as next")
+            raise ProblemError(400, "after: what a page gave as next")
         state = request.query.get("state")
         found = []
         entries = self._table.entries  # a snapshot, however long this takes
@@ -203,7 +203,7 @@
         """Writes a version over the one with `stamp`. Raises Conflict, Unsure, Unavailable."""
         tenant.check()
         tenant = tenant.fitting(self._state.limits.value_bytes)
-        key = key_of(tenant.number)
+        key = tenant_key(tenant.number)
         revision = await self._state.multi(
             [(key, stamp), *conditions],
             [{"put": key, "data": tenant.to_record()}, *writes],
@@ -227,9 +227,9 @@
             try:
                 await self._store(new, stamp)
                 return new
-            except Conflict:
+            except ConflictError:
                 continue
-            except Unsure:
+            except UnknownOutcomeError:
                 if not request_key:
                     raise
         raise NOT_SURE
@@ -244,11 +244,11 @@
                 if request_key and request_key in tenant.requests:
                     return 201, view(tenant), tenant.version
                 if tenant.state != REMOVED:
-                    raise Refused(409, "the name is taken")
+                    raise ProblemError(409, "the name is taken")
             number, number_stamp = await self._state.get(NEXT)
             number = number or 1
             if number > MOST_TENANTS:
-                raise Refused(422, "no numbers are left: each is given once")
+                raise ProblemError(422, "no numbers are left: each is given once")
             tenant = Tenant(
                 number,
                 wanted.name,
@@ -265,15 +265,15 @@
                     [{"put": NAME + wanted.name, "data": number}, {"put": NEXT, "data": number + 1}],
                 )
                 return 201, view(tenant), tenant.version
-            except (Conflict, Unsure) as error:
-                if isinstance(error, Unsure) and not request_key:
+            except (ConflictError, UnknownOutcomeError) as error:
+                if isinstance(error, UnknownOutcomeError) and not request_key:
                     raise
         raise NOT_SURE
 
     async def _change(self, request, request_key, name):
         match = ETAG.match(request.headers.get("if-match", ""))
         if match is None:
-            raise Refused(428, 'If-Match: "VERSION" is needed, as the ETag of a tenant gives it')
+            raise ProblemError(428, 'If-Match: "VERSION" is needed, as the ETag of a tenant gives it')
         wanted = request.read(TenantChange)
         fields = {
             field: getattr(wanted, field)
@@ -283,9 +283,9 @@
 
         def change(tenant):
             if tenant.version != int(match[1]):
-                raise Refused(412, f"the version is {tenant.version} by now")
+                raise ProblemError(412, f"the version is {tenant.version} by now")
             if tenant.state == REMOVING:
-                raise Refused(410, "the tenant is being removed")
+                raise ProblemError(410, "the tenant is being removed")
             return tenant.changed(request_key, **fields)
 
         tenant = await self._apply(lambda: self._load(name), request_key, change)
@@ -293,9 +293,9 @@
 
     async def _transit(self, name, request_key, verb, **more):
         def change(tenant):
-            new = transit(tenant, verb, request_key, **more)
+            new = transition(tenant, verb, request_key, **more)
             if new is None:
-                raise Refused(410 if tenant.state == REMOVING else 409, f"the tenant is {tenant.state}")
+                raise ProblemError(410 if tenant.state == REMOVING else 409, f"the tenant is {tenant.state}")
             return new
 
         tenant = await self._apply(lambda: self._load(name), request_key, change)
@@ -314,14 +314,14 @@
     # Keys
 
     async def _administrators(self):
-        record, stamp = await self._state.get(key_of(ADMINISTRATORS))
+        record, stamp = await self._state.get(tenant_key(ADMINISTRATORS))
         return (from_record(record) if record else Tenant(ADMINISTRATORS, "administrators"), stamp)
 
     async def _make_key(self, load, request, request_key, scopes):
         wanted = request.read(NewKey)
         unknown = sorted(set(wanted.scopes) - set(scopes))
         if unknown:
-            raise Refused(422, f"scopes: of {', '.join(scopes)}")
+            raise ProblemError(422, f"scopes: of {', '.join(scopes)}")
         return await self._add_key(load, request_key, lambda tenant: (wanted.scopes, wanted.label, tenant))
 
     async def _add_key(self, load, request_key, ask):
@@ -342,7 +342,7 @@
         elif told and tenant.keys and tenant.keys[-1] == told[1]:
             text, made = told
         else:
-            raise Refused(409, "the request made another key, which is gone")
+            raise ProblemError(409, "the request made another key, which is gone")
         return 201, KeyView(made.id, made.scopes, made.label, made.until, text), tenant.version
 
     async def _end_key(self, load, key, request_key, until):
@@ -367,7 +367,7 @@
     async def _load_living(self, name):
         tenant, stamp = await self._load(name)
         if tenant.state == REMOVING:
-            raise Refused(410, "the tenant is being removed")
+            raise ProblemError(410, "the tenant is being removed")
         return tenant, stamp
 
     async def _rotate(self, request, request_key, name, key):
@@ -378,7 +378,7 @@
         def ask(tenant):
             old = tenant.key(int(key) if key.isascii() and key.isdigit() and len(key) < 10 else -1, now)
             if old is None:
-                raise Refused(404, "no such key")
+                raise ProblemError(404, "no such key")
             # One version does both: there is no moment with neither key.
             ending = tenant.ending_key(old.id, now + overlap_s) if overlap_s else tenant.ending_key(old.id, 0)
             return old.scopes, old.label, from_record({**ending.to_record(), "version": tenant.version})
--- a/roadhead/gateway/answers.py
+++ b/roadhead/gateway/answers.py
@@ -13,7 +13,7 @@
 PROBLEMS = {JSON: "application/problem+json", CBOR: "application/problem+cbor"}
 
 
-class Refused(Exception):
+class ProblemError(Exception):
     """A request's final answer is an error. `detail` must name nobody but the asker."""
 
     def __init__(self, status, detail="", retry_after=None, faults=(), headers=()):
@@ -25,8 +25,8 @@
         self.headers = list(headers)
 
 
-UNKNOWN_KEY = Refused(401, "no good key", headers=[("WWW-Authenticate", "Bearer")])
-NOT_SURE = Refused(503, "not able to say now", 1)
+UNKNOWN_KEY = ProblemError(401, "no good key", headers=[("WWW-Authenticate", "Bearer")])
+NOT_SURE = ProblemError(503, "not able to say now", 1)
 
 
 class Request:
@@ -51,30 +51,30 @@
     def request_key(self):
         key = self.headers.get("idempotency-key", "")
         if len(key) > 100:
-            raise Refused(400, "Idempotency-Key: at most 100 characters")
+            raise ProblemError(400, "Idempotency-Key: at most 100 characters")
         return key
 
     def read(self, kind):
         """The body as a message. Raises Refused."""
         media = self.headers.get("content-type", JSON).partition(";")[0].strip().lower()
         if media not in (JSON, CBOR):
-            raise Refused(415, f"a body is {JSON} or {CBOR}")
+            raise ProblemError(415, f"a body is {JSON} or {CBOR}")
         try:
             if media == JSON:
                 value = msgspec.json.decode(self.body or b"{}")
             else:
                 value = cbor2.loads(self.body) if self.body else {}
         except Exception:  # the decoders raise many kinds for garbage
-            raise Refused(400, f"the body is not {media}") from None
+            raise ProblemError(400, f"the body is not {media}") from None
         try:
             return msgspec.convert(value, kind)
         except (msgspec.ValidationError, ValueError, TypeError, RecursionError) as error:
-            raise Refused(400, _without_values(str(error))) from None
+            raise ProblemError(400, _without_values(str(error))) from None
 
     def count(self, name, default, most):
         text = self.query.get(name, str(default))
         if not (text.isascii() and text.isdigit() and 1 <= int(text[:9]) <= most):
-            raise Refused(400, f"{name}: from 1 to {most}")
+            raise ProblemError(400, f"{name}: from 1 to {most}")
         return int(text)
 
 
--- a/roadhead/gateway/commands.py
+++ b/roadhead/gateway/commands.py
@@ -70,7 +70,7 @@
     root.add_argument("--hosted", required=True, metavar="FILE")
 
 
-class Trouble(Exception):
+class CommandError(Exception):
     pass
 
 
@@ -94,7 +94,7 @@
     except ValueError as error:
         print(f"roadhead: {error}", file=sys.stderr)
         return 2
-    except (Trouble, OSError) as error:
+    except (CommandError, OSError) as error:
         print(f"roadhead: {error}", file=sys.stderr)
         return 1
     if args.json:
@@ -134,12 +134,12 @@
             data = response.read()
             answer = json.loads(data) if data else {}
         except (http.client.HTTPException, ValueError) as error:
-            raise Trouble(f"{self._address}: no proper answer: {error!r}") from None
+            raise CommandError(f"{self._address}: no proper answer: {error!r}") from None
         finally:
             connection.close()
         if response.status >= 400:
             faults = "".join(f"\n  {fault}" for fault in answer.get("faults", ()))
-            raise Trouble(f"{response.status} {answer.get('detail') or answer.get('title', '')}{faults}")
+            raise CommandError(f"{response.status} {answer.get('detail') or answer.get('title', '')}{faults}")
         return answer
 
 
--- a/roadhead/gateway/controllers.py
+++ b/roadhead/gateway/controllers.py
@@ -5,7 +5,7 @@
 from roadhead.gateway.answers import NOT_SURE
 from roadhead.runtime.loop import Timeout
 from roadhead.wire import messages
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 log = logging.getLogger("roadhead.controllers")
 
@@ -28,9 +28,9 @@
         last those that were silent lately."""
         labels = list(self._clients)
         self._random.shuffle(labels)
-        warden = self._term().warden(str(number))
+        quota_leader = self._term().quota_leader(str(number))
         now = self._loop.now()
-        labels.sort(key=lambda label: (self._silent.get(label, 0.0) > now, label != warden))
+        labels.sort(key=lambda label: (self._silent.get(label, 0.0) > now, label != quota_leader))
         return labels
 
     async def _ask(self, label, method, target, body, timeout):
@@ -54,7 +54,7 @@
             timeout = left * (0.5 if attempt < TRIES - 1 else 1.0)
             try:
                 status, answer, headers = await self._ask(label, method, target, body, timeout)
-            except (NoAnswer, Timeout, messages.Invalid) as error:
+            except (NoResponseError, Timeout, messages.InvalidMessageError) as error:
                 log.debug("%s: %r", label, error)
                 self._silent[label] = self._loop.now() + PASS_OVER_S
                 continue
@@ -72,6 +72,6 @@
     async def _one(self, label, target, within_s):
         try:
             status, answer, _headers = await self._ask(label, "GET", target, b"", within_s)
-        except (NoAnswer, Timeout, messages.Invalid):
+        except (NoResponseError, Timeout, messages.InvalidMessageError):
             return None
         return answer if status == 200 else None
--- a/roadhead/gateway/gateway.py
+++ b/roadhead/gateway/gateway.py
@@ -5,13 +5,13 @@
 import time
 
 from roadhead.gateway.admin_api import AdminApi
-from roadhead.gateway.answers import JSON, NOT_SURE, Refused, Request, answer, problem
+from roadhead.gateway.answers import JSON, NOT_SURE, ProblemError, Request, answer, problem
 from roadhead.gateway.controllers import Controllers
 from roadhead.gateway.tenants_api import TenantsApi
 from roadhead.gateway.watch import Watch
 from roadhead.state.client import StateClient
 from roadhead.tenants.keys import Secrets
-from roadhead.tenants.table import Table
+from roadhead.tenants.table import TenantTable
 from roadhead.wire import http
 
 log = logging.getLogger("roadhead.gateway")
@@ -27,7 +27,7 @@
         self._net = net
         self._hosted = hosted
         self._streams = {"tenants": 0, "administration": 0}
-        self.table = Table()
+        self.table = TenantTable()
         secrets = Secrets(hosted.master)
         self.state = StateClient(loop, net, hosted.cluster.state, hosted.gateway_limits(), 1)
         self.watch = Watch(loop, self.state, self.table, hosted.stale_s)
@@ -82,17 +82,17 @@
         try:
             request = Request(message)
         except ValueError:  # more in the query than any path takes
-            return problem(Refused(400, "the target can't be read"), JSON)
+            return problem(ProblemError(400, "the target can't be read"), JSON)
         if request.parts == ["ready"]:
             return (200 if self.watch.fresh() else 503), b"", None
         try:
             if not self.watch.fresh():
                 raise NOT_SURE
             status, value, version = await handle(request)
-        except Refused as refused:
+        except ProblemError as refused:
             return problem(refused, request.media)
         except Exception:  # whatever it was, its text is for the log, not for the asker
             log.exception("%s %s failed", request.method, "/".join(request.parts[:3]))
-            return problem(Refused(500, "a fault of ours"), request.media)
+            return problem(ProblemError(500, "a fault of ours"), request.media)
         headers = [("ETag", f'"{version}"')] if version is not None else []
         return answer(status, value, request.media, headers)
--- a/roadhead/gateway/routes.py
+++ b/roadhead/gateway/routes.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from roadhead import __version__
-from roadhead.gateway.answers import Refused
+from roadhead.gateway.answers import ProblemError
 from roadhead.gateway.types import Problem
 
 
@@ -43,7 +43,7 @@
                 if route.method == request.method:
                     return route, values
                 there = True
-        raise Refused(405 if there else 404, "no such path" if not there else "not with this method")
+        raise ProblemError(405 if there else 404, "no such path" if not there else "not with this method")
 
     def document(self, title):
         """The API in OpenAPI 3.1, made from the routes and their message types."""
--- a/roadhead/gateway/tenants_api.py
+++ b/roadhead/gateway/tenants_api.py
@@ -1,13 +1,13 @@
 """The tenants' API: their own jobs, by their own ids. Nothing here names anybody else."""
 
-from roadhead.gateway.answers import NOT_SURE, UNKNOWN_KEY, Refused
+from roadhead.gateway.answers import NOT_SURE, UNKNOWN_KEY, ProblemError
 from roadhead.gateway.routes import Route, Routes
 from roadhead.gateway.types import ClassRow, Job, JobPage, Submission, TeamUse, Usage
-from roadhead.jobs.job import FINAL, KEY, SHELF
-from roadhead.state.client import Unavailable, Unsure
+from roadhead.jobs.job import ARCHIVE, FINAL, KEY
+from roadhead.state.client import UnavailableError, UnknownOutcomeError
 from roadhead.tenants import admission, ids
 from roadhead.tenants.keys import split_key
-from roadhead.tenants.records import ADMINISTRATORS, key_of
+from roadhead.tenants.records import ADMINISTRATORS, tenant_key
 from roadhead.wire import messages
 
 PAGE, PAGE_MOST = 100, 500
@@ -22,8 +22,8 @@
     admission.TOO_MANY_JOBS,
     admission.TOO_MANY_TASKS,
     admission.TOO_MUCH_AT_ONCE,
-    admission.RESTING.text,
-    admission.GONE.text,
+    admission.SUSPENDED_REFUSAL.text,
+    admission.REMOVED_REFUSAL.text,
 )
 
 ROUTES = Routes(
@@ -95,13 +95,13 @@
         if entry.tenant.number == ADMINISTRATORS:
             raise UNKNOWN_KEY  # administrators have no jobs
         if route.scope not in key.scopes:
-            raise Refused(403, f"the key's scopes do not hold {route.scope!r}")
+            raise ProblemError(403, f"the key's scopes do not hold {route.scope!r}")
         number = entry.tenant.number
         if "id" in values:
             try:
                 job_id = ids.to_job(number, values["id"])
             except ValueError:
-                raise Refused(404, "no such job") from None
+                raise ProblemError(404, "no such job") from None
         if route.name == "submit":
             return await self._submit(entry, request)
         if route.name == "list":
@@ -117,7 +117,7 @@
         gateway, and this one's watch may lag: only the tenant's record says that there is none."""
         try:
             return authenticate(self._table, self._secrets, text, self._time_of_day())
-        except Refused:
+        except ProblemError:
             if (named := split_key(text)) is None:
                 raise
         await self._read_tenant(named[0])
@@ -129,13 +129,13 @@
             raise NOT_SURE
         self._reading += 1
         try:
-            record, stamp = await self._state.get(key_of(number))
-        except (Unavailable, Unsure):
+            record, stamp = await self._state.get(tenant_key(number))
+        except (UnavailableError, UnknownOutcomeError):
             raise NOT_SURE from None
         finally:
             self._reading -= 1
         if record is not None:
-            self._table.take(key_of(number), record, stamp)
+            self._table.take(tenant_key(number), record, stamp)
 
     async def _told(self, number, own, method, target, within_s, body=b""):
         """(status, Job) by what a controller says of the tenant's job. Raises Refused."""
@@ -146,12 +146,12 @@
             return status, Job(own, answer["status"], answer.get("done"), answer.get("running"))
         text = answer.get("error")
         if status == 404:
-            raise Refused(404, "no such job")
+            raise ProblemError(404, "no such job")
         if status == 422:
-            raise Refused(422, text if text in REASONS else own_words(number, text))
+            raise ProblemError(422, text if text in REASONS else own_words(number, text))
         if status in (403, 410, 429) and text in TEXTS:
             wait = headers.get("retry-after", "1")
-            raise Refused(status, text, int(wait) if status == 429 and wait.isdigit() else None)
+            raise ProblemError(status, text, int(wait) if status == 429 and wait.isdigit() else None)
         raise NOT_SURE
 
     async def _submit(self, entry, request):
@@ -159,19 +159,19 @@
         submission = request.read(Submission)
         number = tenant.number
         job_id = ids.to_job(number, submission.id)
-        resting = admission.standing(tenant)
+        resting = admission.state_refusal(tenant)
         if resting is not None:
             try:  # what was accepted before is known as ever
                 return await self._told(number, submission.id, "GET", f"/v1/jobs/{job_id}", 2.0)
-            except Refused as refused:
+            except ProblemError as refused:
                 if refused.status != 404:
                     raise
-            raise Refused(*resting)
+            raise ProblemError(*resting)
         refusal = self._rates.take(tenant)
         if refusal is not None:
-            raise Refused(*refusal)
+            raise ProblemError(*refusal)
         if tenant.team(submission.team) is None:
-            raise Refused(422, "unknown team")
+            raise ProblemError(422, "unknown team")
         body = messages.encode(submission.to_protocol(job_id, number))
         return await self._told(number, submission.id, "POST", "/v1/jobs", PATIENCE_S, body)
 
@@ -180,7 +180,7 @@
         limit = request.count("limit", PAGE, PAGE_MOST)
         state = request.query.get("state")
         if state not in (None, "open", *FINAL):
-            raise Refused(400, "state: open, done or cancelled")
+            raise ProblemError(400, "state: open, done or cancelled")
         wanted = {name: request.query.get(name) for name in ("class", "team")}
         place, after = self._cursor(number, request.query.get("after", ""))
         found = []
@@ -189,7 +189,7 @@
             prefix = place + ids.prefix(number)
             try:
                 items, more, _revision = await self._state.page(prefix, after, PAGE_MOST)
-            except (Unavailable, Unsure):
+            except (UnavailableError, UnknownOutcomeError):
                 raise NOT_SURE from None
             for key, record, _stamp in items:
                 after = key
@@ -205,9 +205,9 @@
                 if len(found) == limit:
                     return JobPage(found, self._next(place, after))
             if not more:
-                if place == SHELF:
+                if place == ARCHIVE:
                     return JobPage(found, None)
-                place, after = SHELF, ""
+                place, after = ARCHIVE, ""
         return JobPage(found, self._next(place, after))
 
     @staticmethod
@@ -221,12 +221,12 @@
         if not text:
             return KEY, ""
         place, dot, own = text.partition(".")
-        if f"{place}/" not in (KEY, SHELF) or not dot:
-            raise Refused(400, "after: what a page gave as next")
+        if f"{place}/" not in (KEY, ARCHIVE) or not dot:
+            raise ProblemError(400, "after: what a page gave as next")
         try:
             return f"{place}/", f"{place}/{ids.to_job(number, own)}" if own else ""
         except ValueError:
-            raise Refused(400, "after: what a page gave as next") from None
+            raise ProblemError(400, "after: what a page gave as next") from None
 
     async def usage(self, entry):
         """What a tenant holds, by all controllers that answer."""
--- a/roadhead/gateway/watch.py
+++ b/roadhead/gateway/watch.py
@@ -4,7 +4,7 @@
 
 from roadhead.membership.member import TERM
 from roadhead.membership.term import Term
-from roadhead.state.client import TooOld, Unavailable, Unsure
+from roadhead.state.client import CompactedError, UnavailableError, UnknownOutcomeError
 from roadhead.tenants.records import TENANT
 
 log = logging.getLogger("roadhead.watch")
@@ -52,8 +52,8 @@
                             self._take(event["put"], event["data"], event["stamp"])
                     self._seen = max(self._seen, revision)
                 self._heard_at = max(self._heard_at, sent_at)
-            except TooOld:
+            except CompactedError:
                 self._seen = None
-            except (Unavailable, Unsure) as error:
+            except (UnavailableError, UnknownOutcomeError) as error:
                 log.debug("watch: %r", error)
                 await self._loop.sleep(self._stale_s / 40)
--- a/roadhead/jobs/newness.py
+++ b/roadhead/jobs/creation_check.py
@@ -3,9 +3,9 @@
 import logging
 from itertools import islice
 
-from roadhead.jobs.job import KEY, SHELF
+from roadhead.jobs.job import ARCHIVE, KEY
 from roadhead.runtime.loop import Signal
-from roadhead.state.client import Conflict, Unavailable, Unsure
+from roadhead.state.client import ConflictError, UnavailableError, UnknownOutcomeError
 
 log = logging.getLogger("roadhead.newness")
 
@@ -14,9 +14,9 @@
 PAUSE_PARTS = 16  # of the same time, after a comparison that told nothing
 
 
-class Newness:
+class CreationChecker:
     """`settle(job)` is awaited for those of which there is a record. `on_new()`: it was found that there
-    is no record (`fresh`), or that nobody can say (`unsure`)."""
+    is no record (`confirmed_new`), or that nobody can say (`newness_unknown`)."""
 
     def __init__(self, loop, state, progress_s, settle, on_new):
         self._loop = loop
@@ -26,12 +26,12 @@
         self._on_new = on_new
         self._unchecked = Signal()
         self._to_check = {}  # in order as a set
-        self.fresh = {}  # those that were looked into and found to be new, in order as a set
-        self.unsure = False  # whether nobody can say at present which are
+        self.confirmed_new = {}  # those that were looked into and found to be new, in order as a set
+        self.newness_unknown = False  # whether nobody can say at present which are
 
     def add(self, job):
         """The creation has to wait."""
-        if job not in self.fresh:
+        if job not in self.confirmed_new:
             self._to_check[job] = True
             self._unchecked.set()
 
@@ -42,7 +42,7 @@
     def remove(self, job):
         """The creation does not wait any more."""
         self._to_check.pop(job, None)
-        self.fresh.pop(job, None)
+        self.confirmed_new.pop(job, None)
 
     async def run(self):
         """Duty. Users may submit a job again at any later time, and whoever has not seen its end can't
@@ -55,30 +55,30 @@
                 continue
             try:
                 await self._compare(batch)
-            except Conflict as error:
-                self.unsure = False
+            except ConflictError as error:
+                self.newness_unknown = False
                 for job in batch:
-                    if not {KEY + job.id, SHELF + job.id}.isdisjoint(error.failed):
+                    if not {KEY + job.id, ARCHIVE + job.id}.isdisjoint(error.failed):
                         await self._settle(job)
-            except (Unavailable, Unsure) as error:
+            except (UnavailableError, UnknownOutcomeError) as error:
                 log.debug("check of %d creations: %r", len(batch), error)
-                self.unsure = True
+                self.newness_unknown = True
                 self._on_new()
                 await self._loop.sleep(self._progress_s / PAUSE_PARTS)
             else:
-                self.unsure = False
+                self.newness_unknown = False
                 for job in batch:
                     if self._to_check.pop(job, False):
-                        self.fresh[job] = True
+                        self.confirmed_new[job] = True
                 self._on_new()
             self._unchecked.set()
 
     async def _compare(self, batch):
         """Raises Conflict unless there is no record of any of them."""
-        conditions = [(place + job.id, 0) for job in batch for place in (KEY, SHELF)]
+        conditions = [(place + job.id, 0) for job in batch for place in (KEY, ARCHIVE)]
         for left in reversed(range(TRIES)):
             try:
-                return await self._state.unchanged(conditions)
-            except Unsure:
+                return await self._state.check_conditions(conditions)
+            except UnknownOutcomeError:
                 if not left:
                     raise
--- a/roadhead/jobs/risk.py
+++ b/roadhead/jobs/deadline_risk.py
@@ -6,7 +6,7 @@
 log = logging.getLogger("roadhead.risk")
 
 
-class Risk:
+class DeadlineTracker:
     """`aims` maps a class to its tightest time aim in seconds. Counts are of this controller."""
 
     def __init__(self, aims, classes):
@@ -41,7 +41,7 @@
         if job.state != "open" or (due_at is None and job.due_by == math.inf):
             return False
         left = min(math.inf if due_at is None else due_at, job.due_by) - now
-        return left < job.spec.estimate_s * (1.0 if job.free else 0.5)
+        return left < job.spec.estimate_s * (1.0 if job.unstarted else 0.5)
 
     def rows_of(self, jobs, now):
         """[class, open, at risk] of some jobs, without a note of what is new."""
--- a/roadhead/jobs/job.py
+++ b/roadhead/jobs/job.py
@@ -4,15 +4,16 @@
 
 import msgspec
 
-from roadhead.jobs.ranges import Pool, Ranges
+from roadhead.jobs.ranges import Ranges, TaskPool
 from roadhead.wire import messages
 from roadhead.wire.messages import URGENCIES, JobSpec
 
 KEY = "j/"
-SHELF = "f/"  # where final records are moved to
+ARCHIVE = "f/"  # where final records are moved to
 RANK = {name: rank for rank, name in enumerate(URGENCIES)}
 FINAL = ("done", "cancelled")
-FORMAT = 4  # of records, told with the membership; behind it (membership/gate.py) a job may wait for others
+# of records, told with the membership; behind it (membership/format_gate.py) a job may wait for others
+FORMAT = 4
 NOBODY = ("", 0)  # owner of a job that its warden has yet to take over
 HEAD_BYTES = 200  # of a record beside the description, as JSON, with room for some ranges of tasks done
 TRIES = 2  # tasks at once of a job that seems to fail wherever it runs
@@ -33,48 +34,48 @@
 
 
 class Job:
-    """`free` holds the tasks that may be started, `bound` those that may be on a machine.
+    """`unstarted` holds the tasks that may be started, `bound` those that may be on a machine.
 
-    `unsynced`: homes that have yet to say what they know of an inherited job; nothing of
+    `unreconciled_leaders`: homes that have yet to say what they know of an inherited job; nothing of
     it starts before (safety 3).
     """
 
     __slots__ = (
         "accepted_at",
-        "adopting",
-        "aims",
+        "borrowed_position",
         "bound",
         "built",
+        "creation_condition",
         "done",
-        "doubtful",
         "due_by",
         "ended_at",
         "failed_on",
-        "foreign",
-        "free",
-        "gathered",
-        "gathering_since",
-        "head_if",
+        "first_task_leads",
         "id",
         "last_by",
-        "later",
-        "leads",
         "not_before",
+        "owned_by_predecessor",
         "owner",
-        "part",
         "parts",
-        "pauses",
-        "place",
+        "placement_key",
+        "queue_position",
         "rank",
         "released_at",
-        "room_shape",
+        "reserved_tasks",
+        "reserving_since",
+        "retry_pauses",
+        "round_allowance",
         "saved_count",
         "shape",
         "spec",
         "stamp",
         "state",
-        "sure",
-        "unsynced",
+        "suspected_faulty",
+        "taking_over",
+        "targets",
+        "unreconciled_leaders",
+        "unstarted",
+        "within_guarantee",
         "written_at",
     )
 
@@ -86,58 +87,61 @@
         self.stamp = stamp
         self.state = "open"
         self.done = Ranges(done)
-        self.free = Pool(self.done, spec.tasks)
+        self.unstarted = TaskPool(self.done, spec.tasks)
         self.bound = {}
         self.rank = RANK[spec.urgency]  # or that of a job that needs this one
         # Times of day by which it must be complete for those that need it, for the first of their
-        # deadlines and for the last (pipelines/wishes.py).
+        # deadlines and for the last (pipelines/inherited_priorities.py).
         self.due_by = self.last_by = math.inf
         # When the last of the jobs that it needs was done; None: that is yet to come.
         self.released_at = released_at if spec.upstream or released_at else accepted_at
-        self.parts = None  # (nonce, count) where they are too many for the record (pipelines/parts.py)
-        self.head_if = None  # (key, stamp) of the first of them, under which alone the job is created
+        # (nonce, count) where they are too many for the record (pipelines/upstream_parts.py)
+        self.parts = None
+        # (key, stamp) of the first of them, under which alone the job is created
+        self.creation_condition = None
         self.ended_at = 0.0  # when its last task was seen done
-        self.foreign = False  # taken over, and its record still names the owner of before
-        self.unsynced = {""} if inherited else set()
-        self.adopting = False  # no record names its new owner yet: nothing of it starts before
+        self.owned_by_predecessor = False  # taken over, and its record still names the owner of before
+        self.unreconciled_leaders = {""} if inherited else set()
+        self.taking_over = False  # no record names its new owner yet: nothing of it starts before
         self.failed_on = set()  # machines on which tasks failed since the last one done
-        self.doubtful = False  # it seems to fail wherever it runs: only tried now and then
-        self.pauses = 0
+        self.suspected_faulty = False  # it seems to fail wherever it runs: only tried now and then
+        self.retry_pauses = 0
         self.not_before = 0.0
         self.saved_count = self.done.count
         self.written_at = 0.0
-        self.aims = None  # seconds after acceptance, kept by the dispatcher
-        self.place = 0.0  # in its queue
+        self.targets = None  # seconds after acceptance, kept by the dispatcher
+        self.queue_position = 0.0  # in its queue
         # Where teams share by guarantee and weight: tasks within the guarantee, and how many may start before
-        # the next round. `leads`: only the first task that starts has its place. `later`: that of the others.
-        self.sure = self.part = 0
-        self.leads, self.later = False, 0.0
+        # the next round. `first_task_leads`: only the first task that starts has its place.
+        # `borrowed_position`: that of the others.
+        self.within_guarantee = self.round_allowance = 0
+        self.first_task_leads, self.borrowed_position = False, 0.0
         # Of a gang (dispatch/gangs.py): tasks for which room is kept, and since when.
-        self.gathered, self.gathering_since = 0, 0.0
+        self.reserved_tasks, self.reserving_since = 0, 0.0
         needs = (spec.cpus, spec.gpus, spec.memory, spec.spot, spec.zone or "", tuple(spec.types or ()))
         # Jobs of one room shape find room on the same machines; where a job's tasks depend on
         # one another's zones it is alone in its shape.
         alone = spec.one_zone or spec.spread or self.gang
-        self.room_shape = (*needs, spec.team, spec.id if alone else "")
+        self.placement_key = (*needs, spec.team, spec.id if alone else "")
         self.shape = (self.rank, *needs, spec.klass)
         self.built = None  # the description as stored, and its size as JSON
 
-    def lift(self, rank):
+    def raise_urgency(self, rank):
         """As urgent as a job that needs it."""
         self.rank = rank
         self.shape = (rank, *self.shape[1:])
 
     @property
-    def waits(self):
+    def is_waiting(self):
         """Whether jobs that it needs may not be done yet."""
         return self.released_at is None
 
     def release(self, at):
         """All that it needs is durably done, since that time of day."""
-        self.released_at, self.aims, self.built = at, None, None
+        self.released_at, self.targets, self.built = at, None, None
 
     @property
-    def need(self):
+    def resources(self):
         spec = self.spec
         return spec.cpus, spec.gpus, spec.memory
 
@@ -150,8 +154,12 @@
         """How many of its tasks may be started: of a doubtful job a few at a time, of a gang all or
         none."""
         if self.gang:
-            return len(self.free) if not self.bound else 0
-        return len(self.free) if not self.doubtful else min(len(self.free), TRIES - len(self.bound))
+            return len(self.unstarted) if not self.bound else 0
+        return (
+            len(self.unstarted)
+            if not self.suspected_faulty
+            else min(len(self.unstarted), TRIES - len(self.bound))
+        )
 
     def failed(self, machine):
         """A task failed there; True if the job is in doubt from now on.
@@ -160,11 +168,11 @@
         once it failed on two, and on no fewer than those that still run it.
         """
         self.failed_on.add(machine)
-        if self.doubtful or len(self.failed_on) < 2:
+        if self.suspected_faulty or len(self.failed_on) < 2:
             return False
         running_on = {b.machine for b in self.bound.values() if b.status == "running"}
-        self.doubtful = len(self.failed_on) >= len(running_on - self.failed_on)
-        return self.doubtful
+        self.suspected_faulty = len(self.failed_on) >= len(running_on - self.failed_on)
+        return self.suspected_faulty
 
     def status(self):
         if self.state != "open":
@@ -193,7 +201,7 @@
             return self.final(self.state), self.done
         if self.built is None:
             spec = msgspec.to_builtins(self.spec)
-            if not self.waits or self.parts:
+            if not self.is_waiting or self.parts:
                 spec.pop("upstream", None)  # elsewhere, or nothing depends on them any more
             self.built = spec, len(msgspec.json.encode(spec))
         spec, size = self.built
@@ -204,7 +212,7 @@
             "spec": spec,
             "done": self.done.flat(),
         }
-        if self.waits:
+        if self.is_waiting:
             record["v"] = FORMAT  # who does not know of upstream jobs would start it too early
             if self.parts:
                 record["up"] = list(self.parts)
@@ -243,17 +251,17 @@
     return job
 
 
-def before(record):
+def awaited_ids(record):
     """Ids of the jobs that an open record's job still waits for, as far as the record tells."""
     return record["spec"].get("upstream", ()) if record["s"] == "open" and "rel" not in record else ()
 
 
-def shorten(record):
+def for_polls(record):
     """What of a record is kept to answer polls, as long as its stamp holds."""
     if record["s"] != "open":
         return record
     spec, done = record["spec"], record["done"]
-    waits = {"upstream": names} if (names := before(record)) else {}
+    waits = {"upstream": names} if (names := awaited_ids(record)) else {}
     return {
         "s": "open",
         "o": record["o"],
@@ -262,15 +270,15 @@
     }
 
 
-def closing(record):
+def cancelled_record(record):
     """The final record of an open job that is cancelled."""
     done = record["done"]
     return {"s": "cancelled", "n": record["spec"]["legs"], "d": sum(done[1::2]) - sum(done[0::2])}
 
 
-def closing_above(record):
+def cancelled_with_ancestor_record(record):
     """The same of one that is cancelled with a job that it needs: by derivation, and without any task yet."""
-    return {**closing(record), "above": True}
+    return {**cancelled_record(record), "above": True}
 
 
 def answer(record, job_id):
--- a/roadhead/jobs/book.py
+++ b/roadhead/jobs/job_store.py
@@ -26,7 +26,7 @@
 SIZES_MOST = 2000  # jobs of a class by which that is judged
 
 
-class Book:
+class JobStore:
     def __init__(
         self,
         loop,
@@ -41,7 +41,7 @@
         teams,
         on_orphan,
         shelve,
-        line_of,
+        make_dependency_queue,
         parts,
     ):
         self._loop = loop
@@ -58,14 +58,14 @@
         self._shelve = shelve  # (job id, final record, its stamp)
         self.jobs = {}  # open jobs owned here, by id
         self.started_at = {}  # class -> when a task of it was last started
-        self.seen = {}  # class -> number of its jobs that were ever owned here
+        self.jobs_seen = {}  # class -> number of its jobs that were ever owned here
         self._perhaps_started = {}  # inherited jobs that wait here, and may have been let go before; as a set
         self._confirmed = []  # taken over in this turn: the homes are told once more
-        self.arrived = []  # those that joined since the queue was last looked at
-        self.served = {}  # ("class", "team" or "largest", its name) -> jobs done here
+        self.new_jobs = []  # those that joined since the queue was last looked at
+        self.jobs_done = {}  # ("class", "team" or "largest", its name) -> jobs done here
         self._sizes = {}  # class -> CPUs of the jobs of it that were owned here, in order
         self.version = 0  # changes when the queue is to be put in order anew
-        self.finals = {}  # id -> record of jobs known to be over
+        self.final_records = {}  # id -> record of jobs known to be over
         self._creating = {}  # id -> Future of (is new, record)
         self._new = {}  # id -> Job whose record is being written
         self._cancelled_early = set()  # those of them that another controller has read and cancelled
@@ -77,7 +77,7 @@
         context = OwnerContext(loop, member, send, changed, counters.add, time_of_day, lease_s)
         self.reconciliation = Reconciliation(context, self.jobs, self._reconciled)
         self.task_reports = TaskReports(context, self)
-        self.line = line_of(self)
+        self.dependency_queue = make_dependency_queue(self)
         self._parts = parts
         self.recorder = recorder_of(self._written, self._conflict, self._refused, changed)
 
@@ -101,8 +101,8 @@
             if not self.quota.owns(spec.team):
                 owner = NOBODY  # the quota leader takes it over
             job = self._new[spec.id] = Job(spec, owner, self._time_of_day())
-            if not job.waits or self.recorder.holds(job):
-                self.recorder.mark(job, URGENT)
+            if not job.is_waiting or self.recorder.fits_record(job):
+                self.recorder.schedule_write(job, URGENT)
             else:
                 self._loop.spawn(self._write_parts(job), "parts")
         return pending
@@ -113,21 +113,21 @@
         if written is None:
             self._refused(job)
             return
-        job.parts, job.head_if = written
-        self.recorder.mark(job, URGENT)
+        job.parts, job.creation_condition = written
+        self.recorder.schedule_write(job, URGENT)
 
-    def coming(self, on_word):
+    def arriving_jobs(self, on_word):
         """Jobs whose tasks will surely wait here shortly: found to be new and about to be accepted,
         or being taken over. A submission alone is no reason to rent: it may be a retry of a job
         that is long over. Only while nobody can say which it is, up to `on_word` CPUs count on
         their users' word."""
         word = []
-        for job in self._new.values() if self.recorder.unsure else ():
-            cpus = job.spec.cpus * len(job.free)
-            if job not in self.recorder.fresh and cpus <= on_word and not job.waits:
+        for job in self._new.values() if self.recorder.newness_unknown else ():
+            cpus = job.spec.cpus * len(job.unstarted)
+            if job not in self.recorder.confirmed_new and cpus <= on_word and not job.is_waiting:
                 on_word -= cpus
                 word.append(job)
-        fresh = [job for job in self.recorder.fresh if not job.waits]
+        fresh = [job for job in self.recorder.confirmed_new if not job.is_waiting]
         return [*fresh, *word, *{**self._adopting, **self.reconciliation.inherited}]
 
     def _settled(self, job):
@@ -150,10 +150,10 @@
             self._created(job)
             return True, None
         self._cancelled_early.discard(job.id)
-        record = self.finals.get(job.id) or job.final("cancelled")
-        self.remember(job.id, record)
+        record = self.final_records.get(job.id) or job.final("cancelled")
+        self.remember_final(job.id, record)
         if job.owner == self._me:
-            self.recorder.drop(CANCEL + job.id)  # nobody else has started any of it
+            self.recorder.schedule_delete(CANCEL + job.id)  # nobody else has started any of it
         return False, record
 
     def _written(self, job, recorded, state):
@@ -176,7 +176,7 @@
             if self.quota.closing:
                 self._unowned.append(job)
             self._on_orphan(job)
-        elif not self.line.enter(job):
+        elif not self.dependency_queue.add_waiting(job):
             self._begin(job)
 
     # Limits
@@ -185,7 +185,7 @@
         """Quota partitions held here of which nothing is owned, being created or taken over, nor may run
         cancelled."""
         groups = {self.teams.group(job.spec.team) for job in (*self._new.values(), *self._adopting)}
-        groups |= {self.teams.group(team) for team in self.line.waits.by_team}
+        groups |= {self.teams.group(team) for team in self.dependency_queue.dependencies.by_team}
         return self.quota.idle({*groups, *self.accounts.groups()})
 
     def _leave(self, job):
@@ -208,20 +208,20 @@
             insort(sizes, job.spec.tasks * job.spec.cpus)
         self.jobs[job.id] = job
         self.accounts.enter(job)
-        if job.unsynced:
-            self.accounts.unsure(job)
+        if job.unreconciled_leaders:
+            self.accounts.unreconciled(job)
             self.reconciliation.inherited[job] = True
-        self.arrived.append(job)
-        self.seen[job.spec.klass] = self.seen.get(job.spec.klass, 0) + 1
+        self.new_jobs.append(job)
+        self.jobs_seen[job.spec.klass] = self.jobs_seen.get(job.spec.klass, 0) + 1
         self._changed()
 
     def _over(self, job, record, counted=False):
         """The job's end is durable. `counted`: by whoever wrote it, for the summary, and told."""
-        self.remember(job.id, record)
+        self.remember_final(job.id, record)
         self._shelve(job.id, record, job.stamp)
-        self.recorder.unmark(job)
+        self.recorder.cancel_write(job)
         if not counted:
-            self.line.told(job.id, record)
+            self.dependency_queue.announce_end(job.id, record)
         if record["s"] == "done":
             if self._leave(job) and not counted:
                 self._on_finished(job, self._time_of_day())
@@ -229,24 +229,24 @@
                 if self.among_largest(job):
                     keys.append(("largest", job.spec.klass))
                 for key in keys:
-                    self.served[key] = self.served.get(key, 0) + 1
+                    self.jobs_done[key] = self.jobs_done.get(key, 0) + 1
             self.forget(job.id, job.bound.items())
             job.bound.clear()
 
-    def remember(self, job_id, record):
-        if len(self.finals) > MAX_FINALS:
-            self.finals.pop(next(iter(self.finals)))
-        known = job_id in self.finals
-        self.finals[job_id] = record
+    def remember_final(self, job_id, record):
+        if len(self.final_records) > MAX_FINALS:
+            self.final_records.pop(next(iter(self.final_records)))
+        known = job_id in self.final_records
+        self.final_records[job_id] = record
         if not known:
-            self.line.over(job_id, record)
+            self.dependency_queue.on_job_ended(job_id, record)
 
     def _conflict(self, job, record, stamp):
         """Somebody else wrote the record, or an unanswered write of ours went through."""
         mine = record is not None and record["s"] == "open" and tuple(record["o"]) == self._me
         pending = self._settled(job)
         if pending is not None:
-            self.recorder.unmark(job)
+            self.recorder.cancel_write(job)
             if (
                 record is not None
                 and record["s"] == "open"
@@ -262,18 +262,18 @@
             return  # a creation whose outcome was found out meanwhile, by a check of creations that wait
         if record is None:
             log.error("record of %s is gone", job.id)
-            self.recorder.unmark(job)
+            self.recorder.cancel_write(job)
             return
         if record["s"] in FINAL:
             inherited = self._drop_adopting(job)
-            self.recorder.unmark(job)
+            self.recorder.cancel_write(job)
             self._ending.pop(job.id, None)
             if record["s"] == "done":
                 job.stamp = stamp
                 self._over(job, record, inherited)
             else:
-                if job.unsynced and job.id in self.jobs:
-                    self.accounts.unsure(job)  # what runs of it is still to be told
+                if job.unreconciled_leaders and job.id in self.jobs:
+                    self.accounts.unreconciled(job)  # what runs of it is still to be told
                 self.cancelled(job.id, record)
             return
         if mine:
@@ -284,10 +284,10 @@
             return
         log.info("job %s belongs to %s now", job.id, record["o"])
         if self._drop_adopting(job):
-            self._send(record["o"][0], frames.Orphan(job.id))  # the homes were asked for it from here
-        self.recorder.unmark(job)
+            self._send(record["o"][0], frames.OrphanedJob(job.id))  # the homes were asked for it from here
+        self.recorder.cancel_write(job)
         self._ending.pop(job.id, None)
-        self.line.waits.remove(job)
+        self.dependency_queue.dependencies.remove(job)
         self._leave(job)
         self.version += 1
 
@@ -295,15 +295,15 @@
         """It need not be taken over; whether it was being."""
         if not self._adopting.pop(job, False):
             return False
-        job.adopting = False
-        self.accounts.sure(job)
+        job.taking_over = False
+        self.accounts.reconciled(job)
         return True
 
     # Taking over
 
     def _taken(self, job):
         """The job is ours from now on, or over: no other owner takes it from here."""
-        job.adopting = job.foreign = False
+        job.taking_over = job.owned_by_predecessor = False
         if not self._confirmed:
             self._loop.call_soon(self._sync_confirmed)
         self._confirmed.append(job)
@@ -314,17 +314,19 @@
         jobs, self._confirmed = self._confirmed, []
         self.reconciliation.ask_all([job for job in jobs if self.jobs.get(job.id) is job])
 
-    def mine(self, job_id):
+    def reassert_ownership(self, job_id):
         """Another controller asked the homes for a job that is ours: they are told again."""
         job = self.jobs.get(job_id)
-        if job is not None and not job.adopting:
+        if job is not None and not job.taking_over:
             self.reconciliation.ask_all([job])
 
     def knows(self, job_id):
         """Whether the job is in this controller's care, and its record open as far as that goes."""
-        return job_id in self.jobs or job_id in self.line.waits.jobs or job_id in self._ending
+        return (
+            job_id in self.jobs or job_id in self.dependency_queue.dependencies.jobs or job_id in self._ending
+        )
 
-    def adopt(self, items):
+    def take_over(self, items):
         """Open records of dropped owners that fall to this controller.
 
         Each takes a write that names the new owner, and nothing of it starts before; what the homes
@@ -334,47 +336,51 @@
         for record, stamp in items:
             job = from_record(record, self._me, stamp)
             if not self.knows(job.id) and self.quota.owns(job.spec.team):
-                job.foreign = True
-                if not self.line.enter(job):
+                job.owned_by_predecessor = True
+                if not self.dependency_queue.add_waiting(job):
                     adopted.append(job)
                     self._take(job)
-                elif record["o"][0] and self.quota.limited(job.spec.team) and job.id in self.line.waits.jobs:
+                elif (
+                    record["o"][0]
+                    and self.quota.limited(job.spec.team)
+                    and job.id in self.dependency_queue.dependencies.jobs
+                ):
                     self._perhaps_started[job] = True
-                    self.accounts.unsure(job)
+                    self.accounts.unreconciled(job)
         if adopted:
             self.reconciliation.ask_all(adopted)
 
     def _take(self, job):
-        job.adopting = self._adopting[job] = True
+        job.taking_over = self._adopting[job] = True
         self._begin(job)
-        self.recorder.mark(job, SOON)
+        self.recorder.schedule_write(job, SOON)
 
     def _reconciled(self, job):
         """Every home has told all that it knows of an inherited job."""
-        self.accounts.sure(job)
+        self.accounts.reconciled(job)
         if job.state == "cancelled":
             self._end_cancelled(job)
-        if job.gang and job.free and job.bound:
+        if job.gang and job.unstarted and job.bound:
             self._break_up(job)  # its owner ended while it started them
 
-    # Jobs that need others (pipelines/line.py)
+    # Jobs that need others (pipelines/dependency_queue.py)
 
     def never_started(self, job):
         """A job that waits was not let go by its owner of before: what it needs is not done, or cancelled."""
         if self._perhaps_started.pop(job, False):
-            self.accounts.sure(job)
+            self.accounts.reconciled(job)
 
-    def forget_waiting(self, job):
+    def on_waiting_dropped(self, job):
         """A job taken over waits here no more, as the owners have changed: until all records are read anew
         nobody knows what of its team's work may run."""
         if job in self._perhaps_started:
             self.never_started(job)
             self.quota.read_anew(job.spec.team)
 
-    def released(self, job):
+    def on_upstream_done(self, job):
         """All that the job needs is durably done. One whose owner ended before may have been let go by
         that one already, so it is taken over like any other only now, with a write."""
-        if not job.foreign:
+        if not job.owned_by_predecessor:
             self._begin(job)
             return
         self._perhaps_started.pop(job, None)  # counts as taken over from now on
@@ -387,18 +393,18 @@
         jobs, self._to_sync = self._to_sync, []
         self.reconciliation.ask_all([job for job in jobs if self.jobs.get(job.id) is job])
 
-    def end(self, job):
+    def cancel_with_upstream(self, job):
         """A job that waits is cancelled, as one that it needs is: true from now on, and written in time."""
         self.never_started(job)
         self._ending[job.id] = job
         record = {**job.final(job.state), "above": True}
-        self.remember(job.id, record)
-        self.line.told(job.id, record)
-        self.recorder.mark(job, LATER)
+        self.remember_final(job.id, record)
+        self.dependency_queue.announce_end(job.id, record)
+        self.recorder.schedule_write(job, LATER)
 
-    def lift(self, job, rank):
+    def raise_urgency(self, job, rank):
         """An open job is as urgent as one that needs it."""
-        self.accounts.lift(job, rank)
+        self.accounts.raise_urgency(job, rank)
         self.version += 1
         self._changed()
 
@@ -406,7 +412,7 @@
 
     def bind(self, job, machine, zone, attempt=None):
         """Takes a free task of the job for a start; (index, attempt). Tasks of a gang share one."""
-        index = job.free.pop()
+        index = job.unstarted.pop()
         self.started_at[job.spec.klass] = self._loop.now()
         attempt = attempt or self.attempt()
         binding = job.bound[index] = Binding(machine, zone, attempt, "launching", self._loop.now())
@@ -424,10 +430,10 @@
         """Ids of jobs that are being created."""
         return self._creating
 
-    def creating(self, group):
+    def count_creating(self, group):
         return sum(self.teams.group(job.spec.team) == group for job in self._new.values())
 
-    def reconsider(self):
+    def resolve_unowned(self):
         """Partitions that were closing are ours after all, or surely not: their quota leaders are told."""
         for job in self._unowned:
             self._on_orphan(job)
@@ -443,13 +449,15 @@
 
     def stop(self, job, index, binding):
         """A task stops, saved if it can be; it waits again once it is surely gone."""
-        self.send_home(binding, frames.Stop(binding.machine, job.id, index, binding.attempt, job.spec.save_s))
+        self.send_to_leader(
+            binding, frames.StopTask(binding.machine, job.id, index, binding.attempt, job.spec.save_s)
+        )
 
     def unbind(self, job, index):
         """The task's attempt is surely nowhere: it waits again, unless it is done or its job over."""
-        self.accounts.let_go(job, job.bound.pop(index))
+        self.accounts.release_held(job, job.bound.pop(index))
         if job.state == "open" and index not in job.done:
-            job.free.append(index)
+            job.unstarted.append(index)
             if job.gang:
                 self._break_up(job)
             self._changed()
@@ -459,9 +467,9 @@
     def _end_cancelled(self, job):
         """A cancelled job is let go of, and its mark, once none of its tasks can be anywhere: homes that
         have not told yet may find some, whose homes read of it by that mark alone."""
-        if not job.bound and not job.unsynced:
+        if not job.bound and not job.unreconciled_leaders:
             self._leave(job)
-            self.recorder.drop(CANCEL + job.id)
+            self.recorder.schedule_delete(CANCEL + job.id)
 
     def _break_up(self, job):
         """One of a gang is missing: the others stop, and all start anew once they are surely gone.
@@ -473,9 +481,9 @@
             if binding.status not in ("exited", "saving"):
                 self.stop(job, index, binding)
 
-    def send_home(self, binding, frame):
+    def send_to_leader(self, binding, frame):
         """Sends a frame to the home of the machine that an attempt is bound on."""
-        home = self._member.term.home(binding.machine)
+        home = self._member.term.leader_of(binding.machine)
         if home is not None:
             self._send(home, frame)
 
@@ -483,11 +491,11 @@
         """(index, binding) pairs of attempts that ended: their machines may forget them."""
         homes = {}
         for index, binding in bindings:
-            home = self._member.term.home(binding.machine)
+            home = self._member.term.leader_of(binding.machine)
             homes.setdefault(home, []).append((binding.machine, job_id, index, binding.attempt))
         homes.pop(None, None)
         for home, rows in homes.items():
-            self._send(home, frames.Forget(rows))
+            self._send(home, frames.ForgetAttempts(rows))
 
     def cancelled(self, job_id, record=None):
         """The job is durably cancelled."""
@@ -495,16 +503,16 @@
             return  # its end is being written; the conflict tells of this one
         if job_id in self._new:
             self._cancelled_early.add(job_id)
-        waiting = self.line.waits.jobs.get(job_id)
+        waiting = self.dependency_queue.dependencies.jobs.get(job_id)
         if waiting is not None:
-            self.line.waits.remove(waiting)
+            self.dependency_queue.dependencies.remove(waiting)
             waiting.state = "cancelled"
-            self.recorder.unmark(waiting)
-            self.remember(job_id, record or waiting.final(waiting.state))
-            if waiting.foreign:
+            self.recorder.cancel_write(waiting)
+            self.remember_final(job_id, record or waiting.final(waiting.state))
+            if waiting.owned_by_predecessor:
                 self._ask_for_tasks(waiting)
             else:
-                self.recorder.drop(CANCEL + job_id)
+                self.recorder.schedule_delete(CANCEL + job_id)
             return
         job = self.jobs.get(job_id)
         if job is None or job.state == "cancelled":
@@ -512,18 +520,20 @@
         if job.state == "done" and record is None:
             return  # its end is being written; the conflict tells which came first
         job.state = "cancelled"
-        self.recorder.unmark(job)
+        self.recorder.cancel_write(job)
         if self._adopting.pop(job, False):
             self._taken(job)  # its write may never have an outcome
         if record is not None:
-            self.remember(job_id, record)
-        job.free.clear()
+            self.remember_final(job_id, record)
+        job.unstarted.clear()
         over = [(index, binding) for index, binding in job.bound.items() if binding.status == "exited"]
         self.forget(job_id, over)
         for index, _binding in over:
             del job.bound[index]
         for index, binding in list(job.bound.items()):
-            self.send_home(binding, frames.Stop(binding.machine, job_id, index, binding.attempt, 0.0))
+            self.send_to_leader(
+                binding, frames.StopTask(binding.machine, job_id, index, binding.attempt, 0.0)
+            )
         self._end_cancelled(job)
 
     def _ask_for_tasks(self, job):
@@ -531,6 +541,6 @@
         count, and the mark of its cancellation stays, until the homes have told of them."""
         self._perhaps_started.pop(job, None)
         job.release(self._time_of_day())
-        job.free.clear()
+        job.unstarted.clear()
         self._begin(job)
         self.reconciliation.ask_all([job])
--- a/roadhead/jobs/quota.py
+++ b/roadhead/jobs/quota.py
@@ -4,7 +4,7 @@
 be on a machine is known to it (docs/fault-combinations.md, "What a quota leader counts").
 """
 
-from roadhead.homes.machine import NOTHING
+from roadhead.machines.machine import NO_RESOURCES
 
 NO_ROOM = (-1.0, -1.0)  # not even for a task that takes nothing
 AMPLE = 1e12  # CPUs or GPUs of a team without a limit on them
@@ -33,18 +33,18 @@
         """Which partitions are held here, and since which term."""
         label = self._member.label
         same = old is not None and old.incarnation(label) == new.incarnation(label)
-        held = {place for place, leader in enumerate(old.wardens) if leader == label} if same else set()
+        held = {place for place, leader in enumerate(old.quota_leaders) if leader == label} if same else set()
         # In a term that was not seen here it may have gone to one that started tasks, and ended.
         skipped = old is None or new.number > old.number + 1
         if skipped:
             held -= self.closing
         self.held_since = {
             place: self.held_since.get(place, new.number) if place in held else new.number
-            for place, leader in enumerate(new.wardens)
+            for place, leader in enumerate(new.quota_leaders)
             if leader == label
         }
         for place in self.held_since.keys() - held:
-            before = old.wardens[place] if old is not None and place < len(old.wardens) else None
+            before = old.quota_leaders[place] if old is not None and place < len(old.quota_leaders) else None
             # One that gave it away had nothing of it any more.
             if skipped or before is None or old.incarnation(before) != new.incarnation(before):
                 self.unread.add(place)
@@ -73,7 +73,7 @@
         if group is None:
             return True
         return (
-            self._member.term.warden(group) == self._member.label
+            self._member.term.quota_leader(group) == self._member.label
             and self._partition(group) not in self.closing
         )
 
@@ -114,7 +114,7 @@
         """Whether every task of a limited team's group that may be on a machine is known of here."""
         group = self._teams.group(team)
         account = self._accounts.get(group)
-        return self.knows_partition(self._partition(group)) and not (account and account.unsure)
+        return self.knows_partition(self._partition(group)) and not (account and account.unreconciled)
 
     def level_rooms(self, team):
         """{level: (cpus, gpus)}: what each limit on the team leaves, by the tasks known of so far; None if
@@ -125,7 +125,7 @@
         rooms = {}
         for name, limits in levels:
             account = self._accounts.get(name)
-            held = account.held if account is not None else NOTHING
+            held = account.held if account is not None else NO_RESOURCES
             rooms[name] = tuple(most - held[place] if most else AMPLE for place, most in enumerate(limits))
         return rooms
 
@@ -139,4 +139,4 @@
         return self._teams.group(team) is not None
 
     def _partition(self, group):
-        return self._member.term.slot(group)
+        return self._member.term.partition_of(group)
--- a/roadhead/jobs/quota_spreading.py
+++ b/roadhead/jobs/quota_balancer.py
@@ -30,32 +30,34 @@
     return given
 
 
-class QuotaSpreading:
+class QuotaBalancer:
     """A duty of each controller. `every_s`: how often it looks for idle partitions."""
 
-    def __init__(self, loop, member, book, every_s):
+    def __init__(self, loop, member, job_store, every_s):
         self._loop = loop
         self._member = member
-        self._book = book
+        self._job_store = job_store
         self._every_s = every_s
 
     async def run(self):
         """The duty. An outcome that is not known is asked for again, under the same revision, until it is."""
         while True:
             await self._loop.sleep(self._every_s)
-            if not self._member.joined or self._member.lapsed():
+            if not self._member.joined or self._member.lease_may_have_expired():
                 continue
             term = self._member.term
-            given = surplus(term.wardens, self._member.label, term.members, self._book.idle_partitions())
+            given = surplus(
+                term.quota_leaders, self._member.label, term.members, self._job_store.idle_partitions()
+            )
             if given:
                 await self._give(term, given)
 
     async def _give(self, term, given):
-        self._book.quota.closing = set(given)
+        self._job_store.quota.closing = set(given)
         outcome = None
         while outcome is None and self._member.joined and self._member.term is term:
-            outcome = await self._member.give(given)
+            outcome = await self._member.hand_over_partitions(given)
             if outcome is None:
                 await self._loop.sleep(self._every_s / 4)
-        self._book.quota.closing = set()
-        self._book.reconsider()
+        self._job_store.quota.closing = set()
+        self._job_store.resolve_unowned()
--- a/roadhead/jobs/ranges.py
+++ b/roadhead/jobs/ranges.py
@@ -41,7 +41,7 @@
         return [edge for pair in zip(self.starts, self.ends, strict=True) for edge in pair]
 
 
-class Pool:
+class TaskPool:
     """Task numbers that may be taken: ranges not yet touched, and those that came back.
 
     The lowest comes first, one that came back before all others. A job of 100,000 waiting tasks
--- a/roadhead/jobs/reconciliation.py
+++ b/roadhead/jobs/reconciliation.py
@@ -33,8 +33,8 @@
     def ask_all(self, jobs):
         """Tells every home of these jobs, and waits for what each knows of them."""
         for job in jobs:
-            if job.unsynced:
-                job.unsynced = set(self._member.term.members)
+            if job.unreconciled_leaders:
+                job.unreconciled_leaders = set(self._member.term.members)
         for label in self._member.term.members:
             self.ask(label, jobs)
 
@@ -49,7 +49,7 @@
         ]
         waiting = list(self.inherited)
         for job in waiting:
-            job.unsynced = set(new.members)
+            job.unreconciled_leaders = set(new.members)
         moved = self._moved(old, new, whole) if old is not None else {}
         unanswered = self._unanswered()
         for label in new.members:
@@ -77,8 +77,10 @@
         moved = {}
         for job in self._jobs.values():
             for binding in job.bound.values():
-                home = new.home(binding.machine)
-                if home not in whole and old.place(binding.machine) != new.place(binding.machine):
+                home = new.leader_of(binding.machine)
+                if home not in whole and old.leader_and_token(binding.machine) != new.leader_and_token(
+                    binding.machine
+                ):
                     moved.setdefault(home, {})[job] = True
         return moved
 
@@ -93,7 +95,7 @@
             (binding.machine, job.id, index, binding.attempt)
             for job in jobs
             for index, binding in job.bound.items()
-            if term.home(binding.machine) == label
+            if term.leader_of(binding.machine) == label
         ]
         self._number += 1
         if whole:
@@ -103,7 +105,9 @@
             # answer is not waited for would never start.
             self._requests = {n: request for n, request in self._requests.items() if request.label != label}
         self._requests[self._number] = Request(label, jobs)
-        self._send(label, frames.Sync(term.number, self._number, [job.id for job in jobs], claims))
+        self._send(
+            label, frames.ReconcileRequest(term.number, self._number, [job.id for job in jobs], claims)
+        )
 
     def on_synced(self, label, frame):
         """A home has told all that it knows of the jobs of a request."""
@@ -114,13 +118,15 @@
             return
         if frame.term != self._member.term.number:
             # Said for an older term: a home of this one may know of more.
-            self.ask(label, [job for job in request.jobs if job.unsynced and job.id in self._jobs])
+            self.ask(
+                label, [job for job in request.jobs if job.unreconciled_leaders and job.id in self._jobs]
+            )
             return
         ready = False
         for job in request.jobs:
-            if label in job.unsynced:
-                job.unsynced.discard(label)
-                if not job.unsynced:
+            if label in job.unreconciled_leaders:
+                job.unreconciled_leaders.discard(label)
+                if not job.unreconciled_leaders:
                     self.inherited.pop(job, None)
                     self._on_reconciled(job)
                     ready = True
--- a/roadhead/jobs/recorder.py
+++ b/roadhead/jobs/recorder.py
@@ -8,16 +8,16 @@
 
 import logging
 
-from roadhead.jobs.job import KEY, SHELF, before, size_of
-from roadhead.jobs.newness import Newness
+from roadhead.jobs.creation_check import CreationChecker
+from roadhead.jobs.job import ARCHIVE, KEY, awaited_ids, size_of
 from roadhead.jobs.ranges import Ranges
 from roadhead.jobs.records import SPARE, complete, find
-from roadhead.jobs.transactions import Drops, Entry, Lanes, Transaction
+from roadhead.jobs.transactions import PendingDeletes, RecordWrite, Transaction, TransactionPacer
 from roadhead.jobs.write_queue import LATER, SOON, WriteQueue
 from roadhead.membership.member import TENANT, TERM
-from roadhead.pipelines.parts import PARTS
+from roadhead.pipelines.upstream_parts import PARTS
 from roadhead.runtime.loop import Cancelled, Signal
-from roadhead.state.client import Conflict, TooLarge, Unavailable, Unsure
+from roadhead.state.client import ConflictError, RequestTooLargeError, UnavailableError, UnknownOutcomeError
 
 log = logging.getLogger("roadhead.recorder")
 
@@ -33,7 +33,7 @@
     `guards.changed(key, record, stamp)` is told what is there now once it does not hold, and
     says whether nothing of it may be created any more. Then `on_refused(job)` is called for jobs
     of which nothing was written. `guards.later(job)`: whether its creation comes after others'.
-    `on_new()`: more is known of creations that wait for their turn (jobs/newness.py).
+    `on_new()`: more is known of creations that wait for their turn (jobs/creation_check.py).
     """
 
     def __init__(
@@ -50,15 +50,15 @@
         self._guards = guards
         self._queue = WriteQueue(loop, progress_s)
         self._in_flight = {}  # job -> Entry: no other transaction has it until its outcome is known
-        self._lanes = Lanes(loop, state.answers)
-        self._drops = Drops(loop, progress_s)
+        self._lanes = TransactionPacer(loop, state.answers)
+        self._drops = PendingDeletes(loop, progress_s)
         self._wake = Signal()
-        self.newness = Newness(loop, state, progress_s, self._settle, on_new)
+        self.newness = CreationChecker(loop, state, progress_s, self._settle, on_new)
         self.failing_since = None
         self._shrink = {}  # job -> part of the value limit that its record may take: more was refused
         self._single = False  # a batch was too large: one record at a time, until that goes through
 
-    def mark(self, job, urgency):
+    def schedule_write(self, job, urgency):
         """The job's record is to be written; once its write under way has an outcome, if there is one."""
         entry = self._in_flight.get(job)
         if entry is not None:
@@ -70,7 +70,7 @@
         if not job.stamp:
             self.newness.add(job)
 
-    def unmark(self, job):
+    def cancel_write(self, job):
         """The job's record need not be written any more."""
         self._queue.take(job)
         entry = self._in_flight.get(job)
@@ -78,7 +78,7 @@
             entry.again, entry.over = None, True
         self.newness.remove(job)
 
-    def drop(self, key):
+    def schedule_delete(self, key):
         """A key that is no longer needed."""
         self._drops.add(key)
         self._wake.set()
@@ -93,11 +93,11 @@
             if record is not None:
                 self._changed(entry, record, stamp)
             else:
-                self.unmark(entry.job)
+                self.cancel_write(entry.job)
                 self._release(entry)
                 self._on_refused(entry.job)
 
-    def holds(self, job):
+    def fits_record(self, job):
         """Whether a record of the job, with all that it needs, is small enough to be stored."""
         return size_of(job.spec) <= self._state.limits.value_bytes
 
@@ -105,14 +105,14 @@
         return len(self._queue.urgent)
 
     @property
-    def fresh(self):
+    def confirmed_new(self):
         """Creations that wait and were found to be new."""
-        return self.newness.fresh
+        return self.newness.confirmed_new
 
     @property
-    def unsure(self):
+    def newness_unknown(self):
         """Whether nobody can say at present which of those that wait are new."""
-        return self.newness.unsure
+        return self.newness.newness_unknown
 
     async def check(self):
         """Duty: looks into creations that have to wait."""
@@ -122,7 +122,7 @@
         """Somebody else wrote the job's record, or a write of ours whose answer was lost."""
         try:
             record, stamp = await find(self._state, job.id)
-        except (Unavailable, Unsure):
+        except (UnavailableError, UnknownOutcomeError):
             return  # its own write finds the same
         if record is not None and job in self._queue:
             self._on_conflict(job, record, stamp)
@@ -154,13 +154,13 @@
         settled = False
         try:
             settled = await self._send(transaction)
-        except (Unavailable, Unsure) as error:
+        except (UnavailableError, UnknownOutcomeError) as error:
             log.debug("write of %d records: %r", len(transaction.entries), error)
             self._lanes.pause(PAUSE_S)
         finally:
             self._give_back(transaction)
         if settled:
-            self.failing_since, self.newness.unsure = None, False
+            self.failing_since, self.newness.newness_unknown = None, False
         elif self.failing_since is None:
             self.failing_since = self._loop.now()
 
@@ -173,15 +173,15 @@
         """False if nothing took effect as far as is known, though nothing else is in its way."""
         try:
             revision = await self._state.send(transaction.conditions, transaction.writes)
-        except Conflict as conflict:
+        except ConflictError as conflict:
             self._drops.give_back(transaction.drops)
             await self._resolve(transaction, conflict.failed)
-        except Unsure:
+        except UnknownOutcomeError:
             self._drops.give_back(transaction.drops)
             return await self._look_up(transaction)
-        except Unavailable as error:
+        except UnavailableError as error:
             self._drops.give_back(transaction.drops)
-            if isinstance(error, TooLarge):
+            if isinstance(error, RequestTooLargeError):
                 self._replan([entry.job for entry in transaction.entries])
             raise
         else:
@@ -219,7 +219,7 @@
             if part > LEAST_PART:
                 continue
             log.error("the record of %s is too large for the state service; set aside", job.id)
-            self.unmark(job)
+            self.cancel_write(job)
             self._count("records_too_large")
             if not job.stamp:
                 self._shrink.pop(job)
@@ -232,13 +232,13 @@
         for job in batch:
             record, recorded = job.record(int(largest * self._shrink.get(job, 1.0)))
             # JSON of a range edge takes up to 7 bytes; the rest of a record is its description.
-            size += 1200 + 7 * len(record.get("done", ())) + 34 * len(before(record))
+            size += 1200 + 7 * len(record.get("done", ())) + 34 * len(awaited_ids(record))
             if transaction.entries and size > MAX_BYTES:
                 break
             if transaction.entries and len(transaction.conditions) + 5 > 4 * self._state.limits.txn_ops:
                 break  # a creation takes four conditions, and the term's is to come
-            shelved = transaction.may_shelve(job, len(batch) - len(transaction.entries) - 1, self._state)
-            self._add(transaction, job, record, recorded, shelved)
+            archived = transaction.may_archive(job, len(batch) - len(transaction.entries) - 1, self._state)
+            self._add(transaction, job, record, recorded, archived)
         if transaction.creates:
             # A job is created only while the term names its owner: the scan that follows a
             # drop would miss a creation that takes effect later.
@@ -246,17 +246,17 @@
         transaction.drops = self._drops.take(int(self._state.limits.txn_ops) - len(transaction.writes))
         transaction.writes += [{"drop": key} for key in transaction.drops]
 
-    def _add(self, transaction, job, record, recorded, shelved):
+    def _add(self, transaction, job, record, recorded, archived):
         transaction.require((KEY + job.id, job.stamp))
         if not job.stamp:
-            transaction.require((SHELF + job.id, 0))  # it may be over long since
+            transaction.require((ARCHIVE + job.id, 0))  # it may be over long since
             transaction.require(self._guards.of(job))
-            transaction.require(job.head_if)
-        transaction.put(job.id, record, shelved)
+            transaction.require(job.creation_condition)
+        transaction.put(job.id, record, archived)
         self.newness.being_written(job)
         if recorded is job.done:
             recorded = Ranges(job.done.flat())  # tasks done from now on are not in this record
-        entry = Entry(job, self._queue.take(job), record, recorded, job.state, shelved=shelved)
+        entry = RecordWrite(job, self._queue.take(job), record, recorded, job.state, archived=archived)
         transaction.entries.append(entry)
         self._in_flight[job] = entry
 
@@ -273,23 +273,25 @@
         """The job is written again, under the same stamp unless another is known by then."""
         if not self._release(entry) or entry.over:
             return
-        self.mark(entry.job, entry.urgency if entry.again is None else min(entry.urgency, entry.again))
+        self.schedule_write(
+            entry.job, entry.urgency if entry.again is None else min(entry.urgency, entry.again)
+        )
 
     def _confirm(self, entry, revision):
         """The record as sent is stored since that revision."""
         job, recorded = entry.job, entry.recorded
-        job.stamp = 0 if entry.shelved else revision
-        self._count("records_shelved", int(entry.shelved))
+        job.stamp = 0 if entry.archived else revision
+        self._count("records_shelved", int(entry.archived))
         job.written_at = self._loop.now()
         job.saved_count = recorded.count
         self._shrink.pop(job, None)
         self.newness.remove(job)
         self._release(entry)
         if entry.again is not None:
-            self.mark(job, entry.again)
+            self.schedule_write(job, entry.again)
         self._on_written(job, recorded, entry.state)
         if job.state == "open" and job.done.count > recorded.count and job not in self._queue:
-            self.mark(job, SOON if job.complete() else LATER)
+            self.schedule_write(job, SOON if job.complete() else LATER)
 
     def _changed(self, entry, record, stamp):
         """Something else than was sent last is stored."""
@@ -336,7 +338,9 @@
         for key in guarded:
             left = [entry for entry in entries if self._in_flight.get(entry.job) is entry]
             if key.startswith(PARTS):
-                await self._refuse([entry for entry in left if self._depends(entry, entry.job.head_if, key)])
+                await self._refuse(
+                    [entry for entry in left if self._depends(entry, entry.job.creation_condition, key)]
+                )
             elif self._guards.changed(key, *await self._state.get(key)):
                 await self._refuse(
                     [entry for entry in left if self._depends(entry, self._guards.of(entry.job), key)]
--- a/roadhead/jobs/records.py
+++ b/roadhead/jobs/records.py
@@ -8,11 +8,11 @@
 
 import logging
 
-from roadhead.jobs.job import FINAL, FORMAT, KEY, SHELF
-from roadhead.pipelines.parts import whole
+from roadhead.jobs.job import ARCHIVE, FINAL, FORMAT, KEY
+from roadhead.pipelines.upstream_parts import whole
 from roadhead.runtime.loop import Signal
-from roadhead.shares.hashing import pick
-from roadhead.state.client import IDLE_PART, Conflict, Unavailable, Unsure
+from roadhead.shards.hashing import rendezvous_choice
+from roadhead.state.client import IDLE_PART, ConflictError, UnavailableError, UnknownOutcomeError
 
 log = logging.getLogger("roadhead.records")
 
@@ -27,7 +27,7 @@
     """
     record, stamp = await state.get(KEY + job_id)
     if record is None:
-        record, _stamp = await state.get(SHELF + job_id)
+        record, _stamp = await state.get(ARCHIVE + job_id)
         stamp = 0
     return await complete(state, job_id, record), stamp
 
@@ -36,11 +36,11 @@
     """A record read, with what is stored apart from it. Raises Unavailable or Unsure, also for one of a
     newer format, which is left alone."""
     if record is not None and record.get("v", 0) > FORMAT:
-        raise Unavailable(f"a record of format {record['v']}")
+        raise UnavailableError(f"a record of format {record['v']}")
     return await whole(state, job_id, record)
 
 
-class Shelf:
+class RecordArchiver:
     """Moves final records in bounded pieces, with writes that the other duties leave over.
 
     Each move is one transaction under the stamp last known: whoever repeats it, or comes
@@ -65,9 +65,9 @@
             self._queue[job_id] = (record, stamp)
         self._wake.set()
 
-    def found(self, job_id, record, stamp):
+    def add_if_responsible(self, job_id, record, stamp):
         """As `add`, for a record that every controller sees: one of them moves it."""
-        if pick(self._member.term.members, job_id) == self._member.label:
+        if rendezvous_choice(self._member.term.members, job_id) == self._member.label:
             self.add(job_id, record, stamp)
 
     async def run(self):
@@ -88,31 +88,31 @@
                     )
                 elif self._after is not None:
                     await self._read_on()
-            except (Unavailable, Unsure) as error:
+            except (UnavailableError, UnknownOutcomeError) as error:
                 log.debug("move: %r", error)
 
     async def _move(self, moves):
         conditions = [(KEY + job_id, stamp) for job_id, _record, stamp in moves]
         writes = []
         for job_id, record, _stamp in moves:
-            writes += [{"put": SHELF + job_id, "data": record}, {"drop": KEY + job_id}]
+            writes += [{"put": ARCHIVE + job_id, "data": record}, {"drop": KEY + job_id}]
         try:
             await self._state.multi(conditions, writes)
             self._count("records_shelved", len(moves))
-        except Conflict as conflict:
+        except ConflictError as conflict:
             # Those were moved by another controller, or without our hearing of it.
             self._put_back([move for move in moves if KEY + move[0] not in conflict.failed])
-        except Unsure:
+        except UnknownOutcomeError:
             # A comparison costs no writes: those that have moved are not moved again.
             await self._compare(moves, conditions)
-        except Unavailable:
+        except UnavailableError:
             self._put_back(moves)
             raise
 
     async def _compare(self, moves, conditions):
         try:
-            await self._state.unchanged(conditions)
-        except Conflict as conflict:
+            await self._state.check_conditions(conditions)
+        except ConflictError as conflict:
             moves = [move for move in moves if KEY + move[0] not in conflict.failed]
         finally:
             self._put_back(moves)
@@ -125,6 +125,6 @@
         items, more, _revision = await self._state.page(KEY, self._after)
         for key, record, stamp in items:
             if record["s"] in FINAL:
-                self.found(key[len(KEY) :], record, stamp)
+                self.add_if_responsible(key[len(KEY) :], record, stamp)
         if self._after is not None:
             self._after = items[-1][0] if more else None
--- a/roadhead/jobs/task_reports.py
+++ b/roadhead/jobs/task_reports.py
@@ -37,7 +37,7 @@
 
 
 class TaskReports:
-    """Takes in what homes tell of the tasks of the jobs in a store (jobs/book.py)."""
+    """Takes in what homes tell of the tasks of the jobs in a store (jobs/job_store.py)."""
 
     def __init__(self, context, store):
         self._context = context
@@ -64,7 +64,7 @@
     def _on_task(self, label, report):
         job = self._store.jobs.get(report.job)
         if job is None:
-            if report.job in self._store.finals:
+            if report.job in self._store.final_records:
                 self._dismiss(label, report)
             return
         binding = job.bound.get(report.index)
@@ -81,15 +81,15 @@
     @staticmethod
     def _is_inherited(job, report):
         """Whether this may be a task of an inherited job, found where the old owner had it started."""
-        if not job.unsynced or report.index >= job.spec.tasks or report.index in job.done:
+        if not job.unreconciled_leaders or report.index >= job.spec.tasks or report.index in job.done:
             return False
         if report.exited:
             return report.completed and job.state == "open"
         return job.state in ("open", "cancelled")
 
     def _bind_inherited(self, job, report):
-        if report.index in job.free:
-            job.free.remove(report.index)
+        if report.index in job.unstarted:
+            job.unstarted.remove(report.index)
         binding = Binding(report.machine, report.zone, report.attempt, "", self._context.loop.now())
         job.bound[report.index] = binding
         return binding
@@ -124,7 +124,7 @@
             if job.state != "open":
                 self._dismiss(label, report)
             return
-        store.accounts.let_go(job, binding)
+        store.accounts.release_held(job, binding)
         if report.completed and job.state == "open":
             self._done(job, report.index)
             return
@@ -146,11 +146,11 @@
             context.count("jobs_faulty")
             self._store.version += 1
             for label in context.member.term.members:
-                self._send(label, frames.JobFails(job.id))
+                self._send(label, frames.JobFaulty(job.id))
         now = context.loop.now()
-        if job.doubtful and job.not_before <= now:
-            pause_s = context.lease_s * min(LONGEST_PAUSE, FIRST_PAUSE * PAUSE_GROWTH**job.pauses)
-            job.pauses += 1
+        if job.suspected_faulty and job.not_before <= now:
+            pause_s = context.lease_s * min(LONGEST_PAUSE, FIRST_PAUSE * PAUSE_GROWTH**job.retry_pauses)
+            job.retry_pauses += 1
             job.not_before = now + pause_s
             context.loop.call_later(pause_s, context.changed)
 
@@ -163,15 +163,17 @@
             self._runs_after_all(job)
         if not job.done.add(index):
             return
-        if binding is None and index in job.free:
-            job.free.remove(index)
+        if binding is None and index in job.unstarted:
+            job.unstarted.remove(index)
         if binding is not None and binding.status != "exited":
-            self._store.send_home(binding, frames.Stop(binding.machine, job.id, index, binding.attempt, 0.0))
+            self._store.send_to_leader(
+                binding, frames.StopTask(binding.machine, job.id, index, binding.attempt, 0.0)
+            )
         if job.complete():
             job.state, job.ended_at = "done", self._context.time_of_day()
-            self._store.recorder.mark(job, URGENT)
+            self._store.recorder.schedule_write(job, URGENT)
         else:
-            self._store.recorder.mark(job, LATER)
+            self._store.recorder.schedule_write(job, LATER)
 
     def _replica_ended(self, job, index, binding):
         """A replica that ends is started again."""
@@ -181,9 +183,9 @@
 
     def _runs_after_all(self, job):
         job.failed_on.clear()
-        if job.doubtful:
+        if job.suspected_faulty:
             log.info("job %s runs after all", job.id)
-            job.doubtful, job.pauses, job.not_before = False, 0, 0.0
+            job.suspected_faulty, job.retry_pauses, job.not_before = False, 0, 0.0
             self._store.version += 1
             self._context.changed()
 
@@ -191,6 +193,6 @@
         """An attempt that nobody needs."""
         key = (report.machine, report.job, report.index, report.attempt)
         if report.exited:
-            self._send(label, frames.Forget([key]))
+            self._send(label, frames.ForgetAttempts([key]))
         else:
-            self._send(label, frames.Stop(*key, 0.0))
+            self._send(label, frames.StopTask(*key, 0.0))
--- a/roadhead/jobs/teams.py
+++ b/roadhead/jobs/teams.py
@@ -4,25 +4,25 @@
 of the settings is a group of its own; the teams of a tenant form one (`tenants/teams.py`).
 """
 
-from roadhead.homes.machine import NOTHING
+from roadhead.machines.machine import NO_RESOURCES
 
 
 class Account:
     """What one team, or a group of them, takes at its warden.
 
-    `held`: (cpus, gpus, memory) of tasks that may be on a machine, `jobs`: open ones, `unsure`:
+    `held`: (cpus, gpus, memory) of tasks that may be on a machine, `jobs`: open ones, `unreconciled`:
     ids of those taken over of which not all is known yet.
     """
 
-    __slots__ = ("by_rank", "held", "jobs", "tasks", "teams", "unsure")
+    __slots__ = ("by_rank", "held", "jobs", "tasks", "teams", "unreconciled")
 
     def __init__(self):
-        self.held = NOTHING
+        self.held = NO_RESOURCES
         self.tasks = 0
         self.jobs = {}  # in the order in which they came, as a set
         self.by_rank = ({}, {}, {}, {})  # the same, by urgency
         self.teams = {}  # its teams with jobs -> how many
-        self.unsure = set()
+        self.unreconciled = set()
 
     def add(self, need):
         self.held = tuple(held + part for held, part in zip(self.held, need, strict=True))
@@ -32,16 +32,18 @@
         self.tasks -= 1
         # Amounts are decimal numbers: nothing of their rounding is left once nothing is held.
         self.held = (
-            tuple(held - part for held, part in zip(self.held, need, strict=True)) if self.tasks else NOTHING
+            tuple(held - part for held, part in zip(self.held, need, strict=True))
+            if self.tasks
+            else NO_RESOURCES
         )
 
     def waiting(self):
         """Tasks that wait, by a look at every job."""
-        return sum(len(job.free) for job in self.jobs)
+        return sum(len(job.unstarted) for job in self.jobs)
 
     @property
     def empty(self):
-        return not (self.jobs or self.unsure or self.tasks)
+        return not (self.jobs or self.unreconciled or self.tasks)
 
 
 class Accounts:
@@ -72,13 +74,13 @@
             account = self._accounts[name] = Account()
         return account
 
-    def unsure(self, job):
+    def unreconciled(self, job):
         for account in self._of(job):
-            account.unsure.add(job.id)
+            account.unreconciled.add(job.id)
 
-    def sure(self, job):
+    def reconciled(self, job):
         for account in self._of(job):
-            account.unsure.discard(job.id)
+            account.unreconciled.discard(job.id)
         self._drop_empty(job.spec.team)
 
     def enter(self, job):
@@ -86,25 +88,25 @@
             account.jobs[job] = account.by_rank[job.rank][job] = True
             account.teams[job.spec.team] = account.teams.get(job.spec.team, 0) + 1
 
-    def lift(self, job, rank):
+    def raise_urgency(self, job, rank):
         """The job is of another urgency from now on."""
         for account in self._of(job):
             if job in account.jobs:
                 del account.by_rank[job.rank][job]
                 account.by_rank[rank][job] = True
-        job.lift(rank)
+        job.raise_urgency(rank)
 
     def leave(self, job):
         """The job is no longer owned here; neither is anything that it held."""
         for binding in job.bound.values():
-            self.let_go(job, binding)
+            self.release_held(job, binding)
         for account in self._of(job):
             if account.jobs.pop(job, None):
                 del account.by_rank[job.rank][job]
                 account.teams[job.spec.team] -= 1
                 if not account.teams[job.spec.team]:
                     del account.teams[job.spec.team]
-            account.unsure.discard(job.id)
+            account.unreconciled.discard(job.id)
         self._drop_empty(job.spec.team)
 
     def _drop_empty(self, team):
@@ -117,13 +119,13 @@
         if not binding.held:
             binding.held = True
             for account in self._of(job):
-                account.add(job.need)
+                account.add(job.resources)
 
-    def let_go(self, job, binding):
+    def release_held(self, job, binding):
         if binding.held:
             binding.held = False
             for account in self._of(job):
-                account.take_off(job.need)
+                account.take_off(job.resources)
 
 
 class FixedTeams:
--- a/roadhead/jobs/transactions.py
+++ b/roadhead/jobs/transactions.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from roadhead.jobs.job import KEY, SHELF, Job
+from roadhead.jobs.job import ARCHIVE, KEY, Job
 from roadhead.jobs.ranges import Ranges
 from roadhead.jobs.records import SPARE
 from roadhead.runtime.loop import Signal
@@ -13,7 +13,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Entry:
+class RecordWrite:
     """One job's record in a transaction under way."""
 
     job: Job
@@ -23,12 +23,12 @@
     state: str
     again: int | None = None  # urgency with which the job was marked since, if it was
     over: bool = False  # unmarked since: it need not be written again
-    shelved: bool = False  # the record goes to where final ones lie at once
+    archived: bool = False  # the record goes to where final ones lie at once
 
     @property
     def keys(self):
         """Where the job's record may lie."""
-        return KEY + self.job.id, SHELF + self.job.id
+        return KEY + self.job.id, ARCHIVE + self.job.id
 
     def is_stored_as(self, record):
         """Whether that record is the one sent: nobody else writes an open one with this owner's name."""
@@ -39,7 +39,7 @@
 class Transaction:
     """What is sent to the state service: all of it takes effect, under one revision, or nothing."""
 
-    entries: list[Entry] = field(default_factory=list)
+    entries: list[RecordWrite] = field(default_factory=list)
     conditions: list[tuple[str, int]] = field(default_factory=list)
     writes: list[dict] = field(default_factory=list)
     drops: list[str] = field(default_factory=list)
@@ -49,14 +49,14 @@
         if condition is not None and condition not in self.conditions:
             self.conditions.append(condition)
 
-    def put(self, job_id, record, shelved):
+    def put(self, job_id, record, archived):
         """Writes the job's record, under `j/`, or from there to where final ones lie."""
-        if shelved:
-            self.writes += [{"put": SHELF + job_id, "data": record}, {"drop": KEY + job_id}]
+        if archived:
+            self.writes += [{"put": ARCHIVE + job_id, "data": record}, {"drop": KEY + job_id}]
         else:
             self.writes.append({"put": KEY + job_id, "data": record})
 
-    def may_shelve(self, job, left, state):
+    def may_archive(self, job, left, state):
         """Whether the job's final record goes to the shelf at once, two writes instead of one now and two
         later: only while there are plenty, since users wait for the ends of other jobs. `left`: jobs that
         may still be added to this transaction."""
@@ -74,7 +74,7 @@
         return any(not stamp for _key, stamp in self.conditions)
 
 
-class Drops:
+class PendingDeletes:
     """Keys that are no longer needed. They go along with records, a few at a time, and by themselves once
     none was to be written for `progress_s`."""
 
@@ -110,7 +110,7 @@
         return bool(self._keys) and self._loop.now() - self._waiting_since >= self._progress_s
 
 
-class Lanes:
+class TransactionPacer:
     """Paces transactions. As long as answers come in their usual time one is under way at a time, so that
     what is marked meanwhile goes into one batch; an answer that is late no longer holds up the next."""
 
--- a/roadhead/local/cloud_api.py
+++ b/roadhead/local/cloud_api.py
@@ -1,10 +1,10 @@
 """The emulated cloud: rents machines, and lists them late."""
 
-from roadhead.local.server import Server
-from roadhead.local.worker import Worker
+from roadhead.local.server import EmulatedServer
+from roadhead.local.worker import EmulatedWorker
 
 
-class CloudApi(Server):
+class CloudEmulator(EmulatedServer):
     def __init__(self, world, kinds, capacity, address="10.2.0.2:8443"):
         super().__init__(world, address.rpartition(":")[0], address)
         self.kinds = kinds
@@ -80,4 +80,4 @@
         return names
 
     def new_worker(self, name, number, kind, zone, spot):
-        return Worker(self.world, name, number, kind, zone, spot)
+        return EmulatedWorker(self.world, name, number, kind, zone, spot)
--- a/roadhead/local/cluster.py
+++ b/roadhead/local/cluster.py
@@ -33,7 +33,7 @@
 }
 
 
-class Failed(Exception):
+class ClusterError(Exception):
     """The cluster, or a job file, is not what it should be; the text is for the user."""
 
 
@@ -156,7 +156,7 @@
         addresses = [*self.plan["fronts"], self.plan["tenants"]]
         while addresses:
             if time.monotonic() > deadline:
-                raise Failed(f"not ready after 30 s; its logs are in {self.directory / 'logs'}")
+                raise ClusterError(f"not ready after 30 s; its logs are in {self.directory / 'logs'}")
             addresses = [
                 address for address in addresses if self._request(address, "GET", "/ready")[0] != 200
             ]
@@ -192,7 +192,7 @@
             if status not in (0, 429, 500, 503):
                 return status, answer
             time.sleep(0.2)
-        raise Failed(f"{request[1]} {request[2]}: no answer for a minute")
+        raise ClusterError(f"{request[1]} {request[2]}: no answer for a minute")
 
     def tenant(self):
         """The tenant of this machine's user, made once; its key is told to nobody else."""
@@ -240,7 +240,7 @@
         )
         status, answer = self.ask("POST", "/v1/jobs", msgspec.to_builtins(job))
         if status not in (200, 201):
-            raise Failed(f"job {job.id}: {answer.get('detail') or answer['title']}")
+            raise ClusterError(f"job {job.id}: {answer.get('detail') or answer['title']}")
         return job_id
 
     def failures(self, job_id, tasks):
@@ -265,17 +265,17 @@
         for table in tables:
             command = table.pop("command", None)
             if not (isinstance(command, list) and command and all(isinstance(word, str) for word in command)):
-                raise Failed(f"{path}: job {table.get('id', '?')}: command: a list of texts")
+                raise ClusterError(f"{path}: job {table.get('id', '?')}: command: a list of texts")
             job = msgspec.convert({"team": TEAM, "class": "local", "expected_s": 1.0, **table}, Submission)
             jobs.append((job, command))
     except OSError as error:
-        raise Failed(f"{path}: {error.strerror}") from None
+        raise ClusterError(f"{path}: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
-        raise Failed(f"{path}: {error}") from None
+        raise ClusterError(f"{path}: {error}") from None
     if not jobs:
-        raise Failed(f"{path}: no [[job]]")
+        raise ClusterError(f"{path}: no [[job]]")
     if len({job.id for job, _command in jobs}) < len(jobs):
-        raise Failed(f"{path}: two jobs of one id")
+        raise ClusterError(f"{path}: two jobs of one id")
     return jobs
 
 
--- a/roadhead/local/keeper.py
+++ b/roadhead/local/disk_store.py
@@ -7,7 +7,7 @@
 EPOCH, PERMITS = b"epoch", b"permits"
 
 
-class Keeper:
+class DiskStore:
     def __init__(self, path):
         self._env = lmdb.open(path, map_size=MAP_BYTES, max_dbs=3)
         self._data = self._env.open_db(b"data")
--- a/roadhead/local/expectations.py
+++ b/roadhead/local/expectations.py
@@ -1,10 +1,10 @@
 """What a scenario expects: lines `expect NAME ...`, looked at when it has been played."""
 
-from roadhead.local.histories import Question
+from roadhead.local.histories import RequestKind
 from roadhead.local.scenario_verbs import job_id
 
 
-def faults_of(world):
+def unmet_expectations(world):
     """What did not come out as the scenario expects, as texts."""
     faults = []
     for name, *words in world.expectations:
@@ -33,9 +33,9 @@
     assert wanted in ("done", "cancelled")
     ids = list(world.users) if numbers == "all" else _ids(numbers)
     return [
-        f"{name} was told {world.users[name].told}, not {wanted}"
+        f"{name} was told {world.users[name].last_state}, not {wanted}"
         for name in ids
-        if world.users[name].told != wanted
+        if world.users[name].last_state != wanted
     ]
 
 
@@ -50,7 +50,7 @@
 
 
 def _unavailable(world, question, relation, bound):
-    count = world.history.unavailable(Question(question))
+    count = world.history.unavailable(RequestKind(question))
     return _compare(f"the count of 503 to {question}", count, relation, bound)
 
 
@@ -79,9 +79,9 @@
 
 def _accepted_done(world, tenant):
     unended = [
-        f"{user.own} was accepted, and is {user.told}"
+        f"{user.own} was accepted, and is {user.last_state}"
         for user in world.users.values()
-        if user.tenant == tenant and user.accepted and user.told != "done"
+        if user.tenant == tenant and user.accepted and user.last_state != "done"
     ]
     # Whatever is stored was accepted, or would be if it were asked for.
     stored = [
@@ -94,9 +94,9 @@
 
 def tenants_told(world, tenant, wanted):
     return [
-        f"{user.own} of {tenant} was told {user.told}, not {wanted}"
+        f"{user.own} of {tenant} was told {user.last_state}, not {wanted}"
         for user in world.users.values()
-        if getattr(user, "tenant", None) == tenant and user.told != wanted
+        if getattr(user, "tenant", None) == tenant and user.last_state != wanted
     ]
 
 
@@ -177,7 +177,7 @@
 
 def _mostly_done(world, numbers):
     ids = _ids(numbers)
-    done = sum(world.users[name].told == "done" for name in ids)
+    done = sum(world.users[name].last_state == "done" for name in ids)
     return [] if 2 * done >= len(ids) else [f"less than half of {numbers} is done"]
 
 
--- a/roadhead/local/fault_injector.py
+++ b/roadhead/local/fault_injector.py
@@ -3,11 +3,11 @@
 from dataclasses import dataclass
 
 from roadhead.local.fault_windows import FaultWindow
-from roadhead.local.probes import CloseLook, OddRequests
+from roadhead.local.probes import ConsistencyProbe, InvalidRequests
 from roadhead.local.sim import HostLoop
 from roadhead.membership.member import TERM
 from roadhead.runtime.loop import Timeout
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 CANCELLED_WITHIN_S = 0.2
 HUNG_MOST = 8  # machines that hang with the jobs cancelled
@@ -43,7 +43,7 @@
             "close-looks": lambda seconds: self._begin("close_looks", 1, seconds),
             "mute": self.mute,
             "cancel-now": self.cancel_now,
-            "odd-requests": lambda s: self.odd_requests.append(OddRequests(self._world, float(s))),
+            "odd-requests": lambda s: self.odd_requests.append(InvalidRequests(self._world, float(s))),
         }
 
     def _begin(self, name, share, seconds):
@@ -77,7 +77,7 @@
     async def _post(self, front, body):
         try:
             await Client(self._loop, self._net, front, 0).request("POST", "/v1/report", body, 4.0)
-        except (NoAnswer, Timeout):
+        except (NoResponseError, Timeout):
             pass
 
     # Machines
@@ -96,7 +96,7 @@
             job_id = task.rpartition("/")[0]
             seconds = worker.left_of(task)
             user = self._world.users[job_id]
-            if seconds >= LONG_LEFT_S and user.told not in ("done", "cancelled") and user.accepted:
+            if seconds >= LONG_LEFT_S and user.last_state not in ("done", "cancelled") and user.accepted:
                 left[job_id] = max(seconds, left.get(job_id, 0.0))
         chosen = sorted(left, key=lambda job_id: (-left[job_id], job_id))[: int(count)]
         machines = {
@@ -124,4 +124,4 @@
     def user_learned(self, user):
         """A user was told for the first time that its job is accepted, done or cancelled."""
         if self._world.fault_windows.close_looks.strikes(self._sim) and "tenant" not in user.job:
-            CloseLook(self._world, user)
+            ConsistencyProbe(self._world, user)
--- a/roadhead/local/histories.py
+++ b/roadhead/local/histories.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 
-class Question(enum.Enum):
+class RequestKind(enum.Enum):
     """What a user asks."""
 
     SUBMIT = "submit"
@@ -38,7 +38,7 @@
     """One answer to one question about a job; `status` 0 means that none came, `state` is the job's."""
 
     job_id: str
-    question: Question
+    question: RequestKind
     controller: str
     asked_at: float
     answered_at: float
@@ -86,7 +86,7 @@
 
 
 @dataclass
-class History:
+class AnswerHistory:
     """Takes the answers in the order in which they come, and finds those that are older than they may be.
 
     `counts`: answers by (question, status). `overlaps`: older answers to questions that were on their way
@@ -135,10 +135,10 @@
     def _check_form(self, known, answer):
         if known.submitted_at is None or known.submitted_at > answer.answered_at:
             yield Fault(Rule.INVENTED, answer)
-        if answer.question is Question.CANCEL and not answer.final:
+        if answer.question is RequestKind.CANCEL and not answer.final:
             yield Fault(Rule.BAD_ANSWER, answer)
         if answer.status == 201 and (
-            answer.question is not Question.SUBMIT or _completed_before(known.accepted, answer)
+            answer.question is not RequestKind.SUBMIT or _completed_before(known.accepted, answer)
         ):
             yield Fault(Rule.BAD_ANSWER, answer, known.accepted)
 
--- a/roadhead/local/processes.py
+++ b/roadhead/local/processes.py
@@ -16,14 +16,14 @@
 
 import cbor2
 
-from roadhead.local.cloud_api import CloudApi
+from roadhead.local.cloud_api import CloudEmulator
+from roadhead.local.disk_store import DiskStore
 from roadhead.local.fault_windows import FaultWindows
-from roadhead.local.keeper import Keeper
-from roadhead.local.state_service import StateService
-from roadhead.local.worker import Worker
+from roadhead.local.state_service import StateServiceEmulator
+from roadhead.local.worker import EmulatedWorker
 from roadhead.runtime.loop import Loop
 from roadhead.runtime.net import READ, Net
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 
 def die_with_parent():
@@ -43,7 +43,7 @@
         return self._loop.now()
 
 
-class Ground:
+class ProcessWorld:
     """What the emulators ask of their world, on the real loop and real sockets."""
 
     def __init__(self, directory):
@@ -79,7 +79,7 @@
     state_changed = task_done
 
 
-class RealCloud(CloudApi):
+class RealCloud(CloudEmulator):
     """Its machines are worker processes; it also takes what users upload of their jobs."""
 
     def __init__(self, ground):
@@ -148,7 +148,7 @@
         self.process.wait()
 
 
-class RealWorker(Worker):
+class RealWorker(EmulatedWorker):
     """Runs each task's command as a process group of its own, its output into a file."""
 
     def __init__(self, ground, name, address, zone, spot):
@@ -170,7 +170,7 @@
         job, session = task.rpartition("/")[0], self.session
         try:
             status, data, _ = await self._net_of_cloud.request("GET", f"/uploads/{job}")
-        except NoAnswer:
+        except NoResponseError:
             return  # the launch is repeated until a report shows it
         if status == 200:
             self._jobs[job] = cbor2.loads(data)
@@ -236,9 +236,9 @@
 
 
 def main(part, directory, *arguments):
-    ground = Ground(directory)
+    ground = ProcessWorld(directory)
     if part == "state":
-        StateService(ground, ground.plan["state"], Keeper(str(ground.directory / "state")))
+        StateServiceEmulator(ground, ground.plan["state"], DiskStore(str(ground.directory / "state")))
     elif part == "cloud":
         RealCloud(ground)
     else:
--- a/roadhead/local/scenario.py
+++ b/roadhead/local/scenario.py
@@ -61,7 +61,7 @@
     return scenario
 
 
-def job_from(given):
+def parse_job(given):
     """A job as submitted, from the `name=value` words of a scenario's line."""
     job = {
         "jobclass": "c",
--- a/roadhead/local/scenario_verbs.py
+++ b/roadhead/local/scenario_verbs.py
@@ -1,7 +1,7 @@
 """What a scenario's lines `at SECOND VERB ...` do."""
 
 from roadhead.local.poll_storm import PollStorm
-from roadhead.local.scenario import job_from
+from roadhead.local.scenario import parse_job
 from roadhead.local.tenancy import TenantUser
 from roadhead.tenants.ids import to_job
 
@@ -65,7 +65,7 @@
         world = self._world
         number = len(world.jobs) + 1
         for _ in range(int(given.pop("count", 1))):
-            job = {**job_from(given), "id": job_id(number)}
+            job = {**parse_job(given), "id": job_id(number)}
             world.jobs[job["id"]] = job
             user = world.users[job["id"]] = world.new_user(job)
             world.user_loop.spawn(user.run(), job["id"])
@@ -82,7 +82,7 @@
 
     def _begin_as_tenant(self, given, tenant, name):
         world = self._world
-        job = {**job_from(given), "id": to_job(world.tenancy.numbers[tenant], name), "tenant": tenant}
+        job = {**parse_job(given), "id": to_job(world.tenancy.numbers[tenant], name), "tenant": tenant}
         world.jobs[job["id"]] = job
         user = world.users[job["id"]] = TenantUser(world, job, name)
         user.submitted_at = self._sim.time
@@ -93,7 +93,7 @@
         world = self._world
         user_id = job_id(len(world.jobs) + 1)
         world.submit(words)
-        described = world.users[user_id].described()
+        described = world.users[user_id].submission()
         world.state.put(
             f"j/{user_id}",
             {
--- a/roadhead/local/server.py
+++ b/roadhead/local/server.py
@@ -7,7 +7,7 @@
 from roadhead.wire import http
 
 
-class Server:
+class EmulatedServer:
     """An HTTP server on a host of its own. `lose` answers are executed but never sent."""
 
     def __init__(self, world, host, address):
--- a/roadhead/local/waiting.py
+++ b/roadhead/local/starvation_check.py
@@ -4,7 +4,7 @@
 LOOK_EVERY_S = 5.0
 
 
-class WaitingCheck:
+class StarvationCheck:
     """Looks now and then at what really runs where, and breaks the rule `left_waiting`."""
 
     def __init__(self, world):
@@ -26,7 +26,7 @@
         for job_id in waiting:
             since = self._since.setdefault(job_id, now)
             if now - since > LEFT_WAITING_S:
-                self._world.break_rule("left_waiting", f"{job_id} since {since:.1f}, with room for it")
+                self._world.record_violation("left_waiting", f"{job_id} since {since:.1f}, with room for it")
                 self._since[job_id] = now
 
     def _waiting_beside_room(self):
@@ -61,7 +61,7 @@
             user.accepted
             and not bound
             and not user.asked_to_cancel
-            and not any(other.asked_to_cancel for other in self._world.above(job["id"]))
+            and not any(other.asked_to_cancel for other in self._world.upstream_users(job["id"]))
             and all(self._world.all_completed(one) for one in above)
         )
 
--- a/roadhead/local/state_service.py
+++ b/roadhead/local/state_service.py
@@ -3,13 +3,13 @@
 import bisect
 import json
 
-from roadhead.local.server import Server
+from roadhead.local.server import EmulatedServer
 from roadhead.runtime.loop import Future
 
 KEPT = 10_000  # changes that a watch can ask for
 
 
-class StateService(Server):
+class StateServiceEmulator(EmulatedServer):
     """`keeper` saves every change before it is answered; without one nothing outlives the process."""
 
     def __init__(self, world, address="10.2.0.1:2379", keeper=None):
--- a/roadhead/local/tenancy.py
+++ b/roadhead/local/tenancy.py
@@ -6,13 +6,13 @@
 import msgspec
 
 from roadhead.gateway.gateway import Gateway
-from roadhead.local.user import User
+from roadhead.local.user import EmulatedUser
 from roadhead.runtime.loop import Timeout
 from roadhead.tenants import ids
-from roadhead.tenants.desk import Desk
+from roadhead.tenants.admission_controller import TenantAdmissionController
 from roadhead.tenants.keys import Secrets
 from roadhead.tenants.settings import Hosted
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 MASTER = b"a master secret of a virtual world"
 SETTLED_S = 15.0  # in which a start sent before limits changed has come
@@ -94,8 +94,8 @@
     def time_of_day(self):
         return 1e9 + self.world.sim.time
 
-    def desk(self, loop):
-        return Desk(loop, self._hosted[0], self.time_of_day)
+    def tenant_admission(self, loop):
+        return TenantAdmissionController(loop, self._hosted[0], self.time_of_day)
 
     async def ask(self, kind, method, path, body, key, timeout=5.0, headers=()):
         """(status, answer) of a gateway that is up."""
@@ -114,7 +114,7 @@
                 [("Authorization", f"Bearer {key}"), ("Accept", "application/json"), *headers],
                 "application/json",
             )
-        except (NoAnswer, Timeout):
+        except (NoResponseError, Timeout):
             return 0, None
         return status, (json.loads(data) if data else None)
 
@@ -225,7 +225,7 @@
         ]
 
 
-class TenantUser(User):
+class TenantUser(EmulatedUser):
     """Submits and polls through the gateways, by the tenant's own id."""
 
     def __init__(self, world, job, own):
@@ -245,7 +245,7 @@
         status, answer = await tenancy.ask("tenants", method, path, body, tenancy.keys[self.tenant], timeout)
         if status in (200, 201):
             if answer["id"] != self.own:
-                self.world.break_rule("invented", f"{self.own} is answered as {answer['id']}")
+                self.world.record_violation("invented", f"{self.own} is answered as {answer['id']}")
             self.first_accepted_at = self.first_accepted_at or self.world.sim.time
         elif status in (401, 403, 410):
             self.refused_with = status
