--- a/roadhead/local/user.py
+++ b/roadhead/local/user.py
@@ -4,17 +4,17 @@
 
 import cbor2
 
-from roadhead.local.histories import FINAL, REFUSED, Answer, Question
+from roadhead.local.histories import FINAL, REFUSED, Answer, RequestKind
 from roadhead.runtime.loop import Timeout
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 UNTOLD = ("runS", "apartS", "faulty")  # what a scenario says of a job and its user does not know
 
 
 def _kind_of(method, path):
     if method == "GET":
-        return Question.POLL
-    return Question.CANCEL if path.endswith("/cancel") else Question.SUBMIT
+        return RequestKind.POLL
+    return RequestKind.CANCEL if path.endswith("/cancel") else RequestKind.SUBMIT
 
 
 class Reply(NamedTuple):
@@ -25,7 +25,7 @@
     asked_at: float
 
 
-class User:
+class EmulatedUser:
     """Submits a job and polls it until it is over, as the protocol says users do."""
 
     def __init__(self, world, job):
@@ -34,7 +34,7 @@
         self.job = job
         self.id = job["id"]
         self.accepted = False
-        self.told = None
+        self.last_state = None
         self.told_at = 0.0
         self.gave_up = False
         self.asked_to_cancel = False
@@ -56,7 +56,7 @@
         for fault in world.history.add(
             Answer(job_id, question, front or "none", asked_at, self.sim.time, status, state)
         ):
-            world.break_rule(fault.rule.value, str(fault))
+            world.record_violation(fault.rule.value, str(fault))
         return Reply(status, answer, asked_at)
 
     def _front(self, via):
@@ -75,7 +75,7 @@
         data = cbor2.dumps(body) if body is not None else b""
         try:
             status, data, _ = await client.request(method, path, data, timeout)
-        except (NoAnswer, Timeout):
+        except (NoResponseError, Timeout):
             return 0, None
         return status, (cbor2.loads(data) if data else None)
 
@@ -87,27 +87,27 @@
             return
         self.answered_at = self.sim.time
         state = answer["status"]
-        if self.told in FINAL and state not in FINAL:
+        if self.last_state in FINAL and state not in FINAL:
             return  # an older answer to a question that overlapped, or a fault that the history has noted
         if (
             state == "cancelled"
             and not self.asked_to_cancel
-            and not any(user.asked_to_cancel for user in world.above(self.id))
+            and not any(user.asked_to_cancel for user in world.upstream_users(self.id))
         ):
-            world.break_rule("went_back", f"{self.id}: nobody cancelled it")
+            world.record_violation("went_back", f"{self.id}: nobody cancelled it")
         if state == "done" and not world.all_completed(self.job):
-            world.break_rule("not_done", self.id)
+            world.record_violation("not_done", self.id)
         if state == "cancelled" and self.told_cancelled_at is None:
             self.told_cancelled_at = self.sim.time
             world.cancelled_at[self.id] = self.sim.time
         if state in ("pending", "running") and any(
             asked_at > told + world.settings["workers"]["cancel_s"] for told in world.cancelled_above(self.id)
         ):
-            world.break_rule("orphaned", f"{self.id} is called {state}")
-        learned = state != self.told and (state in ("done", "cancelled") or self.told is None)
-        if self.told != state:
+            world.record_violation("orphaned", f"{self.id} is called {state}")
+        learned = state != self.last_state and (state in ("done", "cancelled") or self.last_state is None)
+        if self.last_state != state:
             self.told_at = self.sim.time
-        self.told = state
+        self.last_state = state
         if learned:
             world.injector.user_learned(self)
 
@@ -116,13 +116,13 @@
         """Whether its job may be gone for good, as those of a removed tenant are."""
         return False
 
-    def described(self):
+    def submission(self):
         """Its job as submitted."""
         return {k: v for k, v in self.job.items() if k not in UNTOLD}
 
     async def run(self):
         loop = self.world.user_loop
-        public = self.described()
+        public = self.submission()
         # The jobs of a pipeline are submitted each as soon as those that it needs are accepted.
         while not all(
             self.world.users[name].accepted
@@ -144,7 +144,7 @@
                 return
             else:
                 await loop.sleep(1.0 + self.sim.random.random())
-        while self.told not in ("done", "cancelled"):
+        while self.last_state not in ("done", "cancelled"):
             await loop.sleep(4.0 + 2 * self.sim.random.random())
             self._hear(await self._ask("GET", f"/v1/jobs/{self.id}", None, 2.0))
         # Long after the end, any controller must say the same.
@@ -154,7 +154,7 @@
 
     async def submit_again(self):
         """A retry long after the job was accepted, until it is answered."""
-        public = self.described()
+        public = self.submission()
         while not self.accepted:
             await self.world.user_loop.sleep(1.0)
         for _ in range(60):
--- a/roadhead/local/worker.py
+++ b/roadhead/local/worker.py
@@ -4,9 +4,9 @@
 
 from roadhead.local.fault_windows import QUICK_BOOT_S, SLOW_REPORT_S
 from roadhead.local.gang import Gang
-from roadhead.local.server import Server
+from roadhead.local.server import EmulatedServer
 from roadhead.runtime.loop import Future
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 ANSWER_S = 4.0  # a worker drops the answer to a report that took longer (PROTOCOL)
 
@@ -24,7 +24,7 @@
         self.ends_at = 0.0  # when it will be done, if it runs
 
 
-class Worker(Server):
+class EmulatedWorker(EmulatedServer):
     def __init__(self, world, name, number, kind, zone, spot, address=None):
         self.address = address or f"10.1.{number // 200}.{number % 200 + 1}:9000"
         super().__init__(world, self.address.rpartition(":")[0], self.address)
@@ -100,7 +100,7 @@
                     status, data = 0, b""
                     client.close()
                     await self.loop.sleep(max(0.0, sent_at + ANSWER_S - self.loop.now()))
-            except NoAnswer:
+            except NoResponseError:
                 status, data = 0, b""
             if status == 200:
                 answer = cbor2.loads(data)
@@ -129,7 +129,7 @@
         await self.loop.sleep(self.sim.random.uniform(2.0, 3 * self.lease_s))
         try:
             await Client(self.loop, self.net, front, 0).request("POST", "/v1/report", body, 4.0)
-        except NoAnswer:
+        except NoResponseError:
             pass
 
     async def _watch_lease(self):
--- a/roadhead/local/world.py
+++ b/roadhead/local/world.py
@@ -6,18 +6,18 @@
 import msgspec
 
 from roadhead.local import expectations
-from roadhead.local.cloud_api import CloudApi
+from roadhead.local.cloud_api import CloudEmulator
 from roadhead.local.fault_injector import FaultInjector
 from roadhead.local.fault_windows import FaultWindows
-from roadhead.local.histories import History
+from roadhead.local.histories import AnswerHistory
 from roadhead.local.rules import RuleChecker
 from roadhead.local.scenario import FREE, parse_scenario
 from roadhead.local.scenario_verbs import ScenarioVerbs
 from roadhead.local.sim import HostLoop, Network, Sim
-from roadhead.local.state_service import StateService
+from roadhead.local.starvation_check import StarvationCheck
+from roadhead.local.state_service import StateServiceEmulator
 from roadhead.local.tenancy import Tenancy
-from roadhead.local.user import User
-from roadhead.local.waiting import WaitingCheck
+from roadhead.local.user import EmulatedUser
 from roadhead.node import Node
 from roadhead.settings import Tuning, parse
 
@@ -67,7 +67,7 @@
         for number in range(options["controllers"]):
             self.start(number)
         self.sim.spawn(self.rules.watch(), "checks")
-        self.sim.spawn(WaitingCheck(self).watch(), "waiting check")
+        self.sim.spawn(StarvationCheck(self).watch(), "waiting check")
 
     def _make_records(self):
         """What happened, and what is to happen, as the emulators and the checks need it."""
@@ -85,15 +85,15 @@
         self.refusals = {}
         self.storms = []
         self.fault_windows = FaultWindows()
-        self.history = History()  # of all answers to users
+        self.history = AnswerHistory()  # of all answers to users
         self.rules = RuleChecker(self)
-        self.broken, self.completed = self.rules.broken, self.rules.completed
+        self.violations, self.completed = self.rules.violations, self.rules.completed
         self.running, self.started = self.rules.running, self.rules.started
         self.cancelled_at = self.rules.cancelled_at
 
     def _make_emulators(self):
         self.injector = FaultInjector(self)
-        self.state = StateService(self)
+        self.state = StateServiceEmulator(self)
         kinds = [
             {
                 "name": "box",
@@ -108,7 +108,7 @@
                 "paddocks": list(self.zones),
             }
         ]
-        self.cloud = CloudApi(self, kinds, self.options["capacity"])
+        self.cloud = CloudEmulator(self, kinds, self.options["capacity"])
         self.user_loop = self.host_loop("10.9.0.1")
         self.user_net = self.network.host("10.9.0.1", self.user_loop)
 
@@ -185,7 +185,7 @@
             self._tuned(tuning()),
             random.Random(self.sim.random.random()),
             time_of_day=lambda: EPOCH_S + self.sim.time,
-            hosted=self.tenancy.desk(loop) if self.tenancy is not None else None,
+            hosted=self.tenancy.tenant_admission(loop) if self.tenancy is not None else None,
         )
         self.nodes[number] = node
         if hasattr(node, "decisions"):  # the version that serves today may keep none
@@ -234,8 +234,8 @@
             for entry, label in entries
         ]
 
-    def break_rule(self, rule, text):
-        self.rules.break_rule(rule, text)
+    def record_violation(self, rule, text):
+        self.rules.record_violation(rule, text)
 
     def on_machine(self, task, worker):
         self.rules.on_machine(task, worker)
@@ -254,13 +254,13 @@
     def cancelled_above(self, job_id):
         return self.rules.cancelled_above(job_id)
 
-    def above(self, job_id):
-        return self.rules.above(job_id)
+    def upstream_users(self, job_id):
+        return self.rules.upstream_users(job_id)
 
     # What a scenario does
 
     def new_user(self, job):
-        return User(self, job)
+        return EmulatedUser(self, job)
 
     def submit(self, words):
         self._verbs.submit(*words)
@@ -296,7 +296,7 @@
         """Faults against the rules and the scenario's expectations."""
         for requests in self.injector.odd_requests:
             requests.check()
-        faults = [*self.broken, *self.failures.texts[:3]]
+        faults = [*self.violations, *self.failures.texts[:3]]
         if self.counter("duties_failed"):
             faults.append("a duty failed")
-        return faults + expectations.faults_of(self)
+        return faults + expectations.unmet_expectations(self)
--- a/roadhead/homes/rooms.py
+++ b/roadhead/machines/capacity_grants.py
@@ -3,7 +3,7 @@
 No sockets here: frames from controllers come in as calls, frames go out through `send`.
 """
 
-from roadhead.homes.machine import fits, times
+from roadhead.machines.machine import fits, fitting_count
 from roadhead.wire import frames
 
 PART_MARGIN = 1.2  # what others have parked was told a while ago
@@ -38,7 +38,7 @@
     )
 
 
-class Demand:
+class ControllerDemand:
     """What waits at a controller: rows in its queue order, and the length of its idle list."""
 
     __slots__ = ("left", "length", "rows", "serial")
@@ -51,10 +51,10 @@
 
     def serve(self, machine):
         """The machine's room is granted: what it will take no longer waits."""
-        left = machine.room()
+        left = machine.free_capacity()
         for row in self.rows:
             if row_fits(row, machine, left):
-                count = min(row[COUNT], times(row[CPUS : MEMORY + 1], left))
+                count = min(row[COUNT], fitting_count(row[CPUS : MEMORY + 1], left))
                 row[COUNT] -= count
                 self.left -= count
                 left = (
@@ -64,7 +64,7 @@
                 )
 
 
-class Rooms:
+class CapacityGranter:
     def __init__(self, loop, label, machines, lapse_s, random, send, counters):
         self._loop = loop
         self.label = label
@@ -76,56 +76,56 @@
         self.demand = {}  # label -> Demand
         self.window_s = 0.0  # what is due within it of one another is equally urgent
         self.held = {}  # machine -> since when its room is kept back for a larger task
-        self.parked = {}  # label -> free CPUs that its home last told of
+        self.free_cpus = {}  # label -> free CPUs that its home last told of
         self._serial = 0
 
-    def offerable(self, machine):
+    def can_grant(self, machine):
         return (
-            machine.confirmed == machine.token
+            machine.confirmed_token == machine.token
             and not machine.draining
-            and not machine.doubt_until
+            and not machine.quarantined_until
             and machine.notice_at is None
             and machine.kind is not None
         )
 
-    def heard(self, label, length):
+    def set_idle_length(self, label, length):
         """The length of a controller's idle list, told with what it sends (PAPER 3)."""
         demand = self.demand.get(label)
         if demand is not None:
             demand.length = length
 
-    def peer_down(self, label):
+    def forget_controller(self, label):
         """A controller's link is gone: what it holds comes back."""
         self.demand.pop(label, None)
-        self.parked.pop(label, None)
+        self.free_cpus.pop(label, None)
         for machine in self._machines.values():
-            if machine.holder == label:
-                machine.holder = None
-                machine.declined.clear()
+            if machine.grant_holder == label:
+                machine.grant_holder = None
+                machine.declined_demands.clear()
 
     def revoke(self, machine):
-        holder, machine.holder = machine.holder, None
+        holder, machine.grant_holder = machine.grant_holder, None
         if holder is not None:
-            self._send(holder, frames.Revoke(machine.id, machine.grant_serial))
+            self._send(holder, frames.RevokeGrant(machine.id, machine.grant_serial))
 
-    def changed(self, machine):
+    def on_capacity_changed(self, machine):
         """The machine's room, or whether it may be offered, is not what it was."""
-        if machine.holder is None:
-            self.offer(machine)
-        elif self.offerable(machine):
+        if machine.grant_holder is None:
+            self.grant(machine)
+        elif self.can_grant(machine):
             self._send_grant(machine)
         else:
             self.revoke(machine)
 
     def _send_grant(self, machine):
-        room = machine.room()
+        room = machine.free_capacity()
         state = (machine.grant_serial, machine.grant_taken, room)
         if state == machine.grant_sent:
             return
         machine.grant_sent = state
         machine.grant_lapse_at = self._loop.now() + self._lapse_s
         self._send(
-            machine.holder,
+            machine.grant_holder,
             frames.Grant(
                 machine.id,
                 machine.grant_serial,
@@ -145,23 +145,23 @@
         """Parked room is granted from cheap and full machines first, so that others run empty."""
         kind = machine.kind
         price = kind.spot_price if machine.spot and kind.spot_price is not None else kind.price
-        return (round(price / max(kind.cpus, 1e-6), 3), machine.room()[0])
+        return (round(price / max(kind.cpus, 1e-6), 3), machine.free_capacity()[0])
 
-    def offer(self, machine):
+    def grant(self, machine):
         """The joining rule: room goes to a random controller last heard empty, else to any.
 
         Only controllers with something waiting that fits are asked, and of them those whose
         first such row comes about earliest.
         """
-        if machine.holder is not None or not self.offerable(machine):
+        if machine.grant_holder is not None or not self.can_grant(machine):
             return
-        room = machine.room()
+        room = machine.free_capacity()
         if room[0] <= 0 and room[2] <= 0:
             return
         found = []  # (place in queue, label, strict) of each controller's first row that fits
         larger = None  # the earliest row that the machine could run, had it more room free
         for label, demand in self.demand.items():
-            if not demand.left or machine.declined.get(label) == demand.serial:
+            if not demand.left or machine.declined_demands.get(label) == demand.serial:
                 continue
             for row in demand.rows:  # in queue order
                 if row_fits(row, machine, room):
@@ -189,7 +189,7 @@
         demand.length += 1
         demand.serve(machine)
         self._serial += 1
-        machine.holder = label
+        machine.grant_holder = label
         machine.grant_serial = self._serial
         machine.grant_taken = 0
         machine.grant_sent = None
@@ -230,42 +230,42 @@
             else:
                 row[COUNT] += count
         self._serial += 1
-        demand = self.demand[label] = Demand(self._serial, frame.length, list(rows.values()))
+        demand = self.demand[label] = ControllerDemand(self._serial, frame.length, list(rows.values()))
         if not demand.left:
             return
         least = min(row[CPUS] for row in demand.rows), min(row[MEMORY] for row in demand.rows)
         machines = [
             machine
             for machine in self._machines.values()
-            if machine.holder is None
-            and fits((least[0], 0.0, least[1]), machine.room())
-            and self.offerable(machine)
+            if machine.grant_holder is None
+            and fits((least[0], 0.0, least[1]), machine.free_capacity())
+            and self.can_grant(machine)
         ]
         wanted = set(frame.images)
         machines.sort(key=lambda m: (wanted.isdisjoint(m.images), *self._standing(m)))
         # Every home hears the whole demand. Where there is room for more than that, each meets
         # its part of it, so that the machines last in this order run empty and can go back.
-        spare = demand.left * (1.0 - self.part(sum(m.room()[0] for m in machines)))
+        spare = demand.left * (1.0 - self.part(sum(m.free_capacity()[0] for m in machines)))
         for machine in machines:
             if demand.left <= spare:
                 break
-            self.offer(machine)
+            self.grant(machine)
 
     def part(self, parked):
         """The part of a demand that this home meets, with `parked` CPUs that could serve it."""
-        others = sum(free for label, free in self.parked.items() if label != self.label)
+        others = sum(free for label, free in self.free_cpus.items() if label != self.label)
         return min(1.0, PART_MARGIN * parked / (parked + others)) if parked > 0 else 1.0
 
     def on_return(self, label, frame):
-        self.heard(label, frame.length)
-        self.returned(label, self._machines.get(frame.machine), frame.serial)
+        self.set_idle_length(label, frame.length)
+        self.release_grant(label, self._machines.get(frame.machine), frame.serial)
 
-    def returned(self, label, machine, serial):
-        if machine is None or machine.holder != label or machine.grant_serial != serial:
+    def release_grant(self, label, machine, serial):
+        if machine is None or machine.grant_holder != label or machine.grant_serial != serial:
             return
         self._count("returns")
-        machine.holder = None
+        machine.grant_holder = None
         demand = self.demand.get(label)
         if demand is not None:
-            machine.declined[label] = demand.serial
-        self.offer(machine)
+            machine.declined_demands[label] = demand.serial
+        self.grant(machine)
--- a/roadhead/homes/handover.py
+++ b/roadhead/machines/handover.py
@@ -5,21 +5,24 @@
 ROWS_MOST = 2000  # of a frame
 
 
-def handover(machines, known):
+def handover(machines, registry):
     """Frames for the new home: first of the jobs with tasks there, then of the machines."""
     jobs = {}
     for machine in machines:
         for task in machine.tasks.values():
-            owner, needs = known.owners.get(task.job) or task.owner, known.specs.get(task.job) or task.needs
-            if owner is not None and needs is not None:
+            owner, requirements = (
+                registry.owners.get(task.job) or task.owner,
+                registry.specs.get(task.job) or task.requirements,
+            )
+            if owner is not None and requirements is not None:
                 jobs[task.job] = (
                     task.job,
                     *owner,
-                    *needs.room,
-                    needs.image,
-                    needs.image_gb,
-                    needs.save_s,
-                    needs.saves,
+                    *requirements.resources,
+                    requirements.image,
+                    requirements.image_gb,
+                    requirements.save_s,
+                    requirements.saves,
                 )
     rows = [
         (
@@ -36,7 +39,7 @@
     ]
     return [
         *(frames.HandoverJobs(part) for part in _parts(list(jobs.values()))),
-        *(frames.Handover(part) for part in _parts(rows)),
+        *(frames.HandoverMachines(part) for part in _parts(rows)),
     ]
 
 
--- a/roadhead/homes/known.py
+++ b/roadhead/machines/machine_registry.py
@@ -1,12 +1,12 @@
 """What a home knows: its machines, where each job's tasks are, who owns them and what they need."""
 
-from roadhead.homes.machine import Machine
-from roadhead.membership.touch import KEPT
+from roadhead.machines.machine import Machine
+from roadhead.membership.cancellation_freshness import CANCELLATION_KEPT_FACTOR
 
 CANCELLED_MOST = 5000  # jobs known to be over, before the older ones are let go of
 
 
-class Known:
+class MachineRegistry:
     """`member` tells each machine's share and token.
 
     `lease_s`, `cancel_s`, `lag_s` in seconds: how long names and jobs may still turn up."""
@@ -27,7 +27,7 @@
         self.proven = {}  # jobs of which a task was done here
         self.faulty = {}  # jobs that fail wherever they run, by what their owners say
 
-    def take_on(self, name, address, kind_name, zone, spot, now):
+    def register(self, name, address, kind_name, zone, spot, now):
         term = self._member.term
         machine = Machine(
             name,
@@ -38,18 +38,18 @@
             self.types.get(kind_name),
             now,
             self.where,
-            term.share(name),
-            term.place(name)[1],
+            term.shard_of(name),
+            term.leader_and_token(name)[1],
         )
         self.machines[name] = machine
         return machine
 
-    def let_go(self, machine):
+    def remove(self, machine):
         """The machine has another home, or is gone: nothing on it is looked for here any more."""
         self.machines.pop(machine.id, None)
-        machine.leave()
+        machine.detach()
 
-    def on_machines(self, jobs):
+    def tasks_by_machine(self, jobs):
         """{machine: [tasks of these jobs there]}."""
         found = {}
         for job in jobs:
@@ -77,7 +77,7 @@
             self.cancelled = {
                 job: at
                 for job, at in self.cancelled.items()
-                if job in live or at > now - KEPT * self._cancel_s
+                if job in live or at > now - CANCELLATION_KEPT_FACTOR * self._cancel_s
             }
         self.faulty = {job: at for job, at in self.faulty.items() if job in live or at > old}
         self.proven = {job: at for job, at in self.proven.items() if job in live or at > old}
--- a/roadhead/homes/relief.py
+++ b/roadhead/machines/relieved_controllers.py
@@ -6,7 +6,7 @@
 """
 
 
-class Relief:
+class RelievedControllers:
     """`label`: of the controller that keeps this account."""
 
     def __init__(self, label):
@@ -34,7 +34,7 @@
         before = old.relieved if new.number == old.number + 1 else frozenset()
         self._unaware.update(dict.fromkeys(new.relieved - before - {self._label}, new.number))
 
-    def hear_term(self, label, number):
+    def on_peer_term(self, label, number):
         """Another controller, in its incarnation of now, serves the term of that number."""
         if label in self._unaware and number >= self._unaware[label]:
             del self._unaware[label]
--- a/roadhead/homes/home.py
+++ b/roadhead/machines/shard_leader.py
@@ -8,16 +8,16 @@
 from itertools import chain
 
 from roadhead.decision_log import Decision
-from roadhead.homes.commanding import Commanding
-from roadhead.homes.faults import Faults
-from roadhead.homes.handover import handover
-from roadhead.homes.hearing import Hearing
-from roadhead.homes.known import Known
-from roadhead.homes.machine import EXITED, Needs, about
-from roadhead.homes.news import News
-from roadhead.homes.rooms import Rooms
-from roadhead.homes.shard_reconciliation import ShardReconciliation
-from roadhead.homes.worker_lease import DRIFT
+from roadhead.machines.capacity_grants import CapacityGranter
+from roadhead.machines.failure_history import FailureHistory
+from roadhead.machines.handover import handover
+from roadhead.machines.machine import EXITED, TaskRequirements, decision_subject
+from roadhead.machines.machine_registry import MachineRegistry
+from roadhead.machines.owner_notifier import OwnerNotifier
+from roadhead.machines.report_processor import ReportProcessor
+from roadhead.machines.shard_reconciliation import ShardReconciliation
+from roadhead.machines.task_commands import TaskCommands
+from roadhead.machines.worker_lease import DRIFT
 
 log = logging.getLogger("roadhead.home")
 
@@ -26,8 +26,9 @@
 PLENTY = 0.25  # of the CPUs in use that are free beside them: more, and idle machines go sooner
 
 
-class Home:
-    """Puts the package together: `rooms` (granting), `hearing`, `commanding`, `reconciliation`."""
+class ShardLeader:
+    """Puts the package together: `capacity_granter` (granting), `report_processor`, `task_commands`,
+    `reconciliation`."""
 
     def __init__(
         self, loop, label, member, deployment, lapse_s, random, send, ask, need_spec, counters, decisions
@@ -39,31 +40,42 @@
         self._ask = ask
         self._count = counters.add
         self._decisions = decisions
-        self.awake_at = 0.0  # since when this process has been looking without a stall
-        self.undecided = False
+        self.running_since = 0.0  # since when this process has been looking without a stall
+        self.has_undecided_leases = False
         lag_s = deployment.cloud.list_lag_s
-        self.known = known = Known(member, workers.lease_s, workers.cancel_s, lag_s)
-        self.machines = known.machines
-        self._news = News(member, known, send, counters, decisions)
+        self.registry = registry = MachineRegistry(member, workers.lease_s, workers.cancel_s, lag_s)
+        self.machines = registry.machines
+        self._notifier = OwnerNotifier(member, registry, send, counters, decisions)
         self.reconciliation = ShardReconciliation(
-            loop, member, known, self._news, workers.lease_s, workers.cancel_s, lag_s, decisions
+            loop, member, registry, self._notifier, workers.lease_s, workers.cancel_s, lag_s, decisions
         )
-        self.rooms = Rooms(loop, label, self.machines, lapse_s, random, send, counters)
-        self.faults = Faults(loop, known, self.rooms, workers.report_s, self._drain, counters)
-        self.hearing = Hearing(
+        self.capacity_granter = CapacityGranter(loop, label, self.machines, lapse_s, random, send, counters)
+        self.failure_history = FailureHistory(
+            loop, registry, self.capacity_granter, workers.report_s, self._drain, counters
+        )
+        self.report_processor = ReportProcessor(
             loop,
             member,
-            known,
-            self._news,
+            registry,
+            self._notifier,
             self.reconciliation,
-            self.rooms,
-            self.faults,
+            self.capacity_granter,
+            self.failure_history,
             self._drain,
             need_spec,
             decisions,
         )
-        self.commanding = Commanding(
-            loop, known, self._news, self.reconciliation, self.rooms, lapse_s, send, ask, counters, decisions
+        self.task_commands = TaskCommands(
+            loop,
+            registry,
+            self._notifier,
+            self.reconciliation,
+            self.capacity_granter,
+            lapse_s,
+            send,
+            ask,
+            counters,
+            decisions,
         )
 
     # Terms
@@ -73,44 +85,44 @@
         which others were home to its machines."""
         term = self._member.term
         self.reconciliation.begin(term)
-        self.reconciliation.fence(term.held(self.label), short)
+        self.reconciliation.fence_shards(term.shards_of(self.label), short)
 
     def on_term(self, old, new):
         """The term changed while this incarnation serves: what moved is let go of, or begun anew; what
         stays goes on. Returns {label: [frames]} that tell the new homes what they need not find out."""
-        had, has = old.held(self.label), new.held(self.label)
+        had, has = old.shards_of(self.label), new.shards_of(self.label)
         lost = had.keys() - has.keys()
-        begun = [share for share, token in has.items() if had.get(share) != token]
+        begun = [shard for shard, token in has.items() if had.get(shard) != token]
         given, told = {}, {}  # home -> [machines], and what it is told of them
-        self.reconciliation.on_relief(old, new)
+        self.reconciliation.on_relieved_changed(old, new)
         if lost or begun:
             for machine in list(self.machines.values()):
-                share, (home, token) = new.share(machine.id), new.place(machine.id)
+                shard, (home, token) = new.shard_of(machine.id), new.leader_and_token(machine.id)
                 if home != self.label:
                     given.setdefault(home, []).append(machine)
-                elif (share, token) != (machine.share, machine.token):
-                    machine.share, machine.token, machine.confirmed = share, token, 0
-                    self.rooms.revoke(machine)
+                elif (shard, token) != (machine.shard, machine.token):
+                    machine.shard, machine.token, machine.confirmed_token = shard, token, 0
+                    self.capacity_granter.revoke(machine)
                     if machine.heard_at is not None:
                         self._ask(machine)
-            told = {label: handover(machines, self.known) for label, machines in given.items()}
+            told = {label: handover(machines, self.registry) for label, machines in given.items()}
             for machine in chain.from_iterable(given.values()):
-                self.rooms.revoke(machine)
+                self.capacity_granter.revoke(machine)
                 self._let_go(machine)
-            self.reconciliation.let_go(lost)
-            self.reconciliation.fence(begun, False)
+            self.reconciliation.drop_shards(lost)
+            self.reconciliation.fence_shards(begun, False)
         if old.members.keys() - new.members.keys() or new.relieved - old.relieved:
-            self.reconciliation.lengthen()
-        for label in list(self.rooms.demand):
+            self.reconciliation.extend_fences()
+        for label in list(self.capacity_granter.demand):
             if old.incarnation(label) != new.incarnation(label):
-                self.rooms.peer_down(label)
+                self.capacity_granter.forget_controller(label)
         self.reconciliation.on_term(new)
         return told
 
-    def deaf(self):
+    def most_workers_silent(self):
         """Most machines heard here have fallen silent: dead all at once, or cut off."""
         limit = self._loop.now() - SILENT_REPORTS * self._workers.report_s
-        if self.awake_at > limit:
+        if self.running_since > limit:
             return False
         heard = silent = 0
         for machine in self.machines.values():
@@ -122,59 +134,61 @@
     def on_handover(self, frame):
         """Machines that another home gave away: a hint only. They are asked under this home's token, and
         nothing is known of them before they answer."""
-        known = self.known
+        registry = self.registry
         for name, address, kind_name, zone, spot, draining, images in frame.rows:
             term = self._member.term
             if (
-                term.home(name) != self.label
+                term.leader_of(name) != self.label
                 or name in self.machines
-                or name in known.gone
-                or not self._member.takes_on(term.share(name))
+                or name in registry.gone
+                or not self._member.may_take_on(term.shard_of(name))
             ):
                 continue
-            machine = known.take_on(name, address, kind_name, zone, spot, self._loop.now())
+            machine = registry.register(name, address, kind_name, zone, spot, self._loop.now())
             machine.draining = draining
             machine.up = True
             machine.images = dict.fromkeys(images, 0.0)
-            self.reconciliation.unheard(machine)
+            self.reconciliation.mark_unheard(machine)
             self._ask(machine)
 
     def on_handover_jobs(self, frame):
         """Owners and needs of jobs with tasks on machines that are about to be handed over."""
-        known = self.known
+        registry = self.registry
         for job, label, incarnation, cpus, gpus, memory, image, image_gb, save_s, saves in frame.rows:
             if self._member.term.serves(label, incarnation):
-                known.owners.setdefault(job, (label, incarnation))
-            known.specs.setdefault(job, Needs((cpus, gpus, memory), image, image_gb, save_s, saves))
+                registry.owners.setdefault(job, (label, incarnation))
+            registry.specs.setdefault(
+                job, TaskRequirements((cpus, gpus, memory), image, image_gb, save_s, saves)
+            )
 
     # Machines
 
-    def covered(self, listed, asked_at):
+    def apply_machine_list(self, listed, asked_at):
         """A machine list: asked for at `asked_at`, all machines of it homed here."""
         now = self._loop.now()
-        known, reconciliation = self.known, self.reconciliation
+        registry, reconciliation = self.registry, self.reconciliation
         shown_at = reconciliation.shown_at(asked_at)
         failed, left = [], set()
         for item in listed:
-            if item.id in known.gone:
+            if item.id in registry.gone:
                 continue
             machine = self.machines.get(item.id)
             if item.status == "failed":
                 if machine is not None:
                     self.machine_gone(machine, "failed")
                 else:
-                    self.unknown_gone(item.id)
+                    self.unregistered_machine_gone(item.id)
                 failed.append(item.id)
                 continue
-            share = self._member.term.share(item.id)
-            taken_on = self._member.takes_on(share)
+            shard = self._member.term.shard_of(item.id)
+            taken_on = self._member.may_take_on(shard)
             if machine is None:
                 if not taken_on:
                     # Not heard, then: what runs there is not known, and nothing covers it.
-                    left.add(share)
+                    left.add(shard)
                     continue
-                machine = known.take_on(item.id, item.address, item.type, item.zone, item.spot, now)
-                reconciliation.unheard(machine)
+                machine = registry.register(item.id, item.address, item.type, item.zone, item.spot, now)
+                reconciliation.mark_unheard(machine)
             if machine.listed_at is None:
                 machine.born_at = shown_at - item.age_s * (1 + DRIFT)
             machine.listed_at = asked_at
@@ -183,10 +197,10 @@
             if item.status == "starting":
                 # It was not up at the moment that the list shows, so nobody had told it anything.
                 machine.born_at = max(machine.born_at, shown_at)
-            if machine.confirmed != machine.token and item.status == "running":
+            if machine.confirmed_token != machine.token and item.status == "running":
                 self._ask(machine)
-        reconciliation.cover(asked_at, left)
-        reconciliation.settle()
+        reconciliation.apply_list(asked_at, left)
+        reconciliation.answer_syncs()
         return failed
 
     def machine_gone(self, machine, cause):
@@ -200,74 +214,75 @@
             now - (machine.heard_at or now),
             "" if machine.notice_at is None else f", notice {now - machine.notice_at:+.1f} s",
         )
-        self.known.gone[machine.id] = now
-        self.rooms.revoke(machine)
+        self.registry.gone[machine.id] = now
+        self.capacity_granter.revoke(machine)
         for task in list(machine.tasks.values()):
-            self._news.freed(machine, task, cause)
+            self._notifier.attempt_gone(machine, task, cause)
         self._let_go(machine)
         self.reconciliation.free_claims(machine.id, cause)
 
     def _let_go(self, machine):
-        self.known.let_go(machine)
-        self.faults.let_go(machine)
+        self.registry.remove(machine)
+        self.failure_history.forget_machine(machine)
 
-    def unknown_gone(self, name):
+    def unregistered_machine_gone(self, name):
         """A machine never heard here is surely gone."""
-        self.known.gone[name] = self._loop.now()
+        self.registry.gone[name] = self._loop.now()
         self.reconciliation.free_claims(name, "gone")
 
     def _drain(self, machine):
         """Nothing more starts there; tasks that can save are told to, the rest may finish."""
         machine.draining = True
-        self.rooms.revoke(machine)
+        self.capacity_granter.revoke(machine)
         if machine.notice_at is not None:
             left = machine.notice_at - self._loop.now()
             for task in machine.tasks.values():
                 if (
                     task.status != EXITED
-                    and task.needs is not None
-                    and task.needs.saves
+                    and task.requirements is not None
+                    and task.requirements.saves
                     and task.stop_grace is None
                 ):
                     machine.stop(task, max(0.0, left))
             self._ask(machine)
 
-    def tick(self, sure_at):
+    def tick(self, term_confirmed_at):
         """Once in a while: leases that ran out, grants that lapsed. Returns machines to release.
 
-        `sure_at`: as for `judge_leases`.
+        `term_confirmed_at`: as for `judge_leases`.
         """
         now = self._loop.now()
         lease_s = self._workers.lease_s
-        self.judge_leases(sure_at)
+        self.judge_leases(term_confirmed_at)
         release = []
         for machine in list(self.machines.values()):
-            if machine.holder is not None and now >= machine.grant_lapse_at:
+            if machine.grant_holder is not None and now >= machine.grant_lapse_at:
                 self._count("grants_lapsed")
-                self.rooms.revoke(machine)
-                self.rooms.offer(machine)
-            if machine.doubt_until and now >= machine.doubt_until and not machine.draining:
-                self.faults.judge(machine)
-            if machine.todo and any(
-                task.forget and task.loose_token == machine.token for task in machine.todo.values()
+                self.capacity_granter.revoke(machine)
+                self.capacity_granter.grant(machine)
+            if machine.quarantined_until and now >= machine.quarantined_until and not machine.draining:
+                self.failure_history.evaluate(machine)
+            if machine.pending_commands and any(
+                task.forget and task.unacked_launch_token == machine.token
+                for task in machine.pending_commands.values()
             ):
                 # An unanswered launch could start the attempt again once it is forgotten;
                 # under a higher token the worker refuses it.
-                self._member.want_new_token(machine.share)
-            ours = machine.confirmed == machine.token
+                self._member.want_new_token(machine.shard)
+            ours = machine.confirmed_token == machine.token
             heard_at = machine.heard_at if machine.heard_at is not None else now
-            silent = now - max(heard_at, self.awake_at)
+            silent = now - max(heard_at, self.running_since)
             taken = machine.notice_at is not None and now > machine.notice_at + 1
-            drained = machine.draining and machine.notice_at is None and ours and machine.empty()
+            drained = machine.draining and machine.notice_at is None and ours and machine.is_empty()
             if drained or silent > 4 * lease_s or (taken and silent > 2 * self._workers.report_s):
                 release.append(machine)
-        self.known.prune(now, self.reconciliation.awaited_jobs)
+        self.registry.prune(now, self.reconciliation.awaited_jobs)
         return release
 
-    def judge_leases(self, sure_at):
+    def judge_leases(self, term_confirmed_at):
         """Frees what was on machines whose lease has run out, and what is claimed on those never heard.
 
-        `sure_at`: until then nobody else was home to them by the term in force, so that a lease not
+        `term_confirmed_at`: until then nobody else was home to them by the term in force, so that a lease not
         renewed here, and over by then, is over. `undecided` says whether there are others that ended since.
         """
         now = self._loop.now()
@@ -277,36 +292,36 @@
             if not machine.tasks and not reconciliation.claimed(machine.id):
                 continue
             end = machine.lease.ends_at(self._workers.lease_s)
-            if machine.confirmed != machine.token:
-                end = max(end, reconciliation.fence_at(machine.share))
+            if machine.confirmed_token != machine.token:
+                end = max(end, reconciliation.fence_ends_at(machine.shard))
             if now <= end:
                 continue
-            if sure_at <= end:
+            if term_confirmed_at <= end:
                 undecided = True
                 continue
-            self._note_lease_ended(machine, sure_at)
+            self._note_lease_ended(machine, term_confirmed_at)
             self._count("leases_out")
-            self.rooms.revoke(machine)
+            self.capacity_granter.revoke(machine)
             for task in list(machine.tasks.values()):
-                self._news.freed(machine, task, "lease ended")
+                self._notifier.attempt_gone(machine, task, "lease ended")
             reconciliation.free_claims(machine.id, "lease ended")
-            machine.confirmed = 0
-            reconciliation.unheard(machine)
-        self.undecided = reconciliation.past_fence(sure_at) or undecided
-        reconciliation.settle()
+            machine.confirmed_token = 0
+            reconciliation.mark_unheard(machine)
+        self.has_undecided_leases = reconciliation.expire_claims(term_confirmed_at) or undecided
+        reconciliation.answer_syncs()
 
-    def _note_lease_ended(self, machine, sure_at):
-        """`sure_at`: as for `judge_leases`."""
+    def _note_lease_ended(self, machine, term_confirmed_at):
+        """`term_confirmed_at`: as for `judge_leases`."""
         now, answered = self._loop.now(), machine.lease.answered
         self._decisions.note(
             Decision.LEASE_ENDED,
-            about(machine),
+            decision_subject(machine),
             answered=f"{answered.session}.{answered.sequence}",
             answered_before_s=now - machine.lease.renewed_at,
             newest=f"{machine.session}.{machine.sequence}",
             heard_before_s=now - (machine.heard_at or now),
-            in_force_before_s=now - sure_at,
-            heard_under_token=machine.confirmed == machine.token,
+            in_force_before_s=now - term_confirmed_at,
+            heard_under_token=machine.confirmed_token == machine.token,
             tasks=len(machine.tasks),
         )
 
@@ -316,59 +331,59 @@
         return [
             machine
             for machine in self.machines.values()
-            if machine.confirmed == machine.token
-            and machine.holder is None
-            and machine.empty()
+            if machine.confirmed_token == machine.token
+            and machine.grant_holder is None
+            and machine.is_empty()
             and now - max(machine.idle_since, machine.confirmed_at) > idle_s(machine)
         ]
 
-    def plenty(self):
+    def has_spare_capacity(self):
         """Whether the machines in use have much room left that nobody wants."""
         held = spare = 0.0
         for machine in self.machines.values():
             if machine.active and machine.kind is not None:
-                free = machine.room()[0]
+                free = machine.free_capacity()[0]
                 held += machine.kind.cpus - free
-                if machine.holder is None and self.rooms.offerable(machine):
+                if machine.grant_holder is None and self.capacity_granter.can_grant(machine):
                     spare += free
         return spare > PLENTY * held
 
-    def by_share(self):
+    def machines_by_shard(self):
         """{share: machines there}."""
         counts = {}
         for machine in self.machines.values():
-            counts[machine.share] = counts.get(machine.share, 0) + 1
+            counts[machine.shard] = counts.get(machine.shard, 0) + 1
         return counts
 
     def usage(self):
         """CPUs of the machines heard: (all, held by running tasks, by others, parked, granted)."""
         total = running = other = parked = granted = 0.0
         for machine in self.machines.values():
-            if machine.kind is None or not machine.confirmed:
+            if machine.kind is None or not machine.confirmed_token:
                 continue
             total += machine.kind.cpus
-            free = machine.room()[0]
-            if machine.holder is None:
+            free = machine.free_capacity()[0]
+            if machine.grant_holder is None:
                 parked += free
             else:
                 granted += free
             for task in machine.tasks.values():
-                if task.needs is not None and task.status != EXITED:
+                if task.requirements is not None and task.status != EXITED:
                     if task.status == "running":
-                        running += task.needs.room[0]
+                        running += task.requirements.resources[0]
                     else:
-                        other += task.needs.room[0]
+                        other += task.requirements.resources[0]
         return total, running, other, parked, granted
 
-    def news(self):
+    def machine_counts(self):
         """Rows for the renter: machines by type, zone and kind, and their parked room."""
         rows = {}
         for machine in self.machines.values():
             row = rows.setdefault((machine.type, machine.zone, machine.spot), [0, 0, 0.0, 0.0, 0.0])
             row[0] += 1
-            if self.rooms.offerable(machine):
-                if not machine.busy():
+            if self.capacity_granter.can_grant(machine):
+                if not machine.is_busy():
                     row[1] += 1
-                for place, free in enumerate(machine.room()):
+                for place, free in enumerate(machine.free_capacity()):
                     row[2 + place] += max(0.0, free)
         return [(*key, *row) for key, row in rows.items()]
--- a/roadhead/homes/shard_reconciliation.py
+++ b/roadhead/machines/shard_reconciliation.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from roadhead.decision_log import Decision
-from roadhead.homes.relief import Relief
-from roadhead.homes.worker_lease import DRIFT
+from roadhead.machines.relieved_controllers import RelievedControllers
+from roadhead.machines.worker_lease import DRIFT
 from roadhead.wire import frames
 
 log = logging.getLogger("roadhead.home")
@@ -25,7 +25,7 @@
     jobs: list
 
 
-class Fence:
+class ShardFence:
     """Of one share, since it is this home's under its token. Times are the loop's; `since`: nobody else heard
     a machine of it that was not up by then.
 
@@ -51,11 +51,11 @@
 
     `lease_s`, `cancel_s` of the workers and `lag_s` of the machine list, in seconds."""
 
-    def __init__(self, loop, member, known, news, lease_s, cancel_s, lag_s, decisions):
+    def __init__(self, loop, member, registry, notifier, lease_s, cancel_s, lag_s, decisions):
         self._loop = loop
         self._member = member
-        self._known = known
-        self._news = news
+        self._registry = registry
+        self._notifier = notifier
         self._lease_s = lease_s
         self._cancel_s = cancel_s
         self._lag_s = lag_s
@@ -64,24 +64,24 @@
         self._syncs = []  # PendingSync, in order
         self._fences = {}  # share -> Fence, of the shares homed here
         self._unsure = {}  # shares that may not be clean, in order as a set
-        self._relief = Relief(member.label)
+        self._relief = RelievedControllers(member.label)
 
     def begin(self, term):
         """A new incarnation's first term."""
         self._relief.begin(term)
 
-    def may_not_know(self):
+    def unaware_controllers(self):
         """Labels of relieved controllers that are not known to know."""
         return self._relief.labels()
 
-    def on_relief(self, old, new):
+    def on_relieved_changed(self, old, new):
         """The term changed; to be called before shares of it are fenced."""
         self._relief.on_term(old, new)
         self._bound_relieved()
 
-    def hear_term(self, label, number):
+    def on_peer_term(self, label, number):
         """Another controller, in its incarnation of now, serves the term of that number."""
-        self._relief.hear_term(label, number)
+        self._relief.on_peer_term(label, number)
         self._bound_relieved()
 
     def _bound_relieved(self):
@@ -90,13 +90,13 @@
         if self._relief:
             return
         now = self._loop.now()
-        for share, fence in self._fences.items():
+        for shard, fence in self._fences.items():
             if fence.since == math.inf and now < fence.at:
                 fence.since, fence.covered = now, False
                 fence.cover_from = now + 2 * self._lag_s * (1 + DRIFT)
-                self._unsure[share] = True
+                self._unsure[shard] = True
 
-    def fence(self, shares, short):
+    def fence_shards(self, shards, short):
         """These shares are this home's from now on, or under a new token: what was known of them may be
         old. `short`: nobody else was their home since this one's last incarnation.
 
@@ -107,21 +107,21 @@
         # renewing before cancel_s - lease_s is up (guide, safety 4). Then the lease itself.
         at = now + self._bound_s(short)
         cover_from = now + 2 * self._lag_s * (1 + DRIFT)
-        machines = {share: [] for share in shares}
-        for machine in self._known.machines.values():
-            if machine.share in machines:
-                machines[machine.share].append(machine.id)
-        for share, names in machines.items():
+        machines = {shard: [] for shard in shards}
+        for machine in self._registry.machines.values():
+            if machine.shard in machines:
+                machines[machine.shard].append(machine.id)
+        for shard, names in machines.items():
             since = math.inf if self._relief else now
-            self._fences[share] = Fence(since, at, short, cover_from, names)
-            self._unsure[share] = True
-            self._note_held(share, names, short, at - now)
+            self._fences[shard] = ShardFence(since, at, short, cover_from, names)
+            self._unsure[shard] = True
+            self._note_held(shard, names, short, at - now)
 
-    def _note_held(self, share, names, short, fence_s):
+    def _note_held(self, shard, names, short, fence_s):
         member = self._member
         self._decisions.note(
             Decision.SHARD_HELD,
-            {"shard": share, "token": member.term.held(member.label).get(share)},
+            {"shard": shard, "token": member.term.shards_of(member.label).get(shard)},
             term=member.term.number,
             revision=member.revision,
             in_force_before_s=self._loop.now() - member.term_at,
@@ -135,39 +135,39 @@
         bound = self._lease_s if short else self._cancel_s
         return (bound + ANSWER_S) * (1 + 2 * DRIFT) + 0.5
 
-    def lengthen(self):
+    def extend_fences(self):
         """A member is gone from the term that may live on, and have given away one of these shares right
         before without knowing that it did: a short fence that is not over yet was too short."""
         now = self._loop.now()
-        for share, fence in self._fences.items():
+        for shard, fence in self._fences.items():
             if fence.short and now < fence.at:
                 fence.at, fence.short = now + self._bound_s(False), False
-                self._decisions.note(Decision.FENCE_LENGTHENED, {"shard": share}, fence_s=fence.at - now)
+                self._decisions.note(Decision.FENCE_LENGTHENED, {"shard": shard}, fence_s=fence.at - now)
 
-    def let_go(self, shares):
+    def drop_shards(self, shards):
         """These shares have another home."""
-        for share in shares:
-            self._fences.pop(share, None)
-            self._unsure.pop(share, None)
-            self._decisions.note(Decision.SHARD_LOST, {"shard": share}, term=self._member.term.number)
+        for shard in shards:
+            self._fences.pop(shard, None)
+            self._unsure.pop(shard, None)
+            self._decisions.note(Decision.SHARD_LOST, {"shard": shard}, term=self._member.term.number)
 
-    def fence_at(self, share):
+    def fence_ends_at(self, shard):
         """By then every lease in the share that another home renewed has ended."""
-        return self._fences[share].at
+        return self._fences[shard].at
 
-    def unheard(self, machine):
+    def mark_unheard(self, machine):
         """The machine is new here, or its lease ran out."""
-        fence = self._fences[machine.share]
+        fence = self._fences[machine.shard]
         fence.unheard[machine.id] = fence.awaited[machine.id] = True
-        self._unsure[machine.share] = True
+        self._unsure[machine.shard] = True
 
-    def heard(self, machine):
+    def mark_heard(self, machine):
         """The machine was heard under the token."""
-        fence = self._fences[machine.share]
+        fence = self._fences[machine.shard]
         fence.unheard.pop(machine.id, None)
         fence.awaited.pop(machine.id, None)
 
-    def cover_at(self):
+    def next_list_at(self):
         """When the next list that covers something should be asked for; None if that is not ahead."""
         now = self._loop.now()
         return min(
@@ -184,35 +184,35 @@
         asked for."""
         return asked_at - 2 * self._lag_s * (1 + DRIFT)
 
-    def cover(self, asked_at, left):
+    def apply_list(self, asked_at, left):
         """A machine list asked for at `asked_at` was taken in, but for machines of the shares in `left`."""
         covered = [
-            share
-            for share, fence in self._fences.items()
-            if not fence.covered and asked_at >= fence.cover_from and share not in left
+            shard
+            for shard, fence in self._fences.items()
+            if not fence.covered and asked_at >= fence.cover_from and shard not in left
         ]
-        for share in covered:
-            self._fences[share].covered = True
+        for shard in covered:
+            self._fences[shard].covered = True
         if covered:
-            log.info("covered: %d shares, %d machines", len(covered), len(self._known.machines))
+            log.info("covered: %d shares, %d machines", len(covered), len(self._registry.machines))
 
-    def clean(self):
+    def is_reconciled(self):
         """Every machine of this home was heard under its token or is gone (safety 3)."""
         while self._unsure:
-            share = next(iter(self._unsure))
-            if not self._clean(self._fences[share]):
+            shard = next(iter(self._unsure))
+            if not self._clean(self._fences[shard]):
                 return False
-            del self._unsure[share]
+            del self._unsure[shard]
         return True
 
-    def settled(self):
+    def is_idle(self):
         """Nothing is unsure here, and no owner waits for that."""
-        return not self._syncs and self.clean()
+        return not self._syncs and self.is_reconciled()
 
     def _clean(self, fence):
         if not fence.covered:
             return False
-        machines = self._known.machines
+        machines = self._registry.machines
         if self._loop.now() >= fence.at:
             return not any(name in machines and machines[name].tasks for name in fence.unheard)
         if fence.since == math.inf:
@@ -247,7 +247,7 @@
 
     def free_claims(self, name, cause):
         for key, owner in self.take_claims(name):
-            self._news.tell(owner, frames.Free(name, *key, cause))
+            self._notifier.notify(owner, frames.AttemptGone(name, *key, cause))
 
     def _missing(self):
         """(name, its Fence) of machines that owners claim tasks on and that are not known here."""
@@ -255,10 +255,11 @@
         return [
             (name, fence)
             for name in self._claims
-            if name not in self._known.machines and (fence := self._fences.get(term.share(name))) is not None
+            if name not in self._registry.machines
+            and (fence := self._fences.get(term.shard_of(name))) is not None
         ]
 
-    def vanished(self, listed, asked_at):
+    def missing_machines(self, listed, asked_at):
         """Machines that owners claim tasks on, never heard here nor in this list, late enough.
 
         They ran before this home served the term, so a list that shows a later moment would
@@ -268,39 +269,39 @@
             name for name, fence in self._missing() if asked_at >= fence.cover_from and name not in listed
         ]
 
-    def past_fence(self, sure_at):
+    def expire_claims(self, term_confirmed_at):
         """Nobody but this home has renewed anything since: what was not heard has ended. Whether there is
-        more that can't be said as of `sure_at` (Home.judge_leases)."""
+        more that can't be said as of `term_confirmed_at` (ShardLeader.judge_leases)."""
         now = self._loop.now()
         undecided = False
         for name, fence in self._missing():
-            if sure_at > fence.at:
+            if term_confirmed_at > fence.at:
                 self.free_claims(name, "lease ended")
-            undecided = undecided or now > fence.at >= sure_at
+            undecided = undecided or now > fence.at >= term_confirmed_at
         return undecided
 
     # Syncs
 
     def on_term(self, new):
         """Claims and syncs that the new term has no use for go."""
-        self._claims = {n: c for n, c in self._claims.items() if new.home(n) == self._member.label}
+        self._claims = {n: c for n, c in self._claims.items() if new.leader_of(n) == self._member.label}
         self._syncs = [s for s in self._syncs if new.serves(s.label, s.incarnation)]
 
     def sync(self, label, incarnation, frame):
         """An owner wants to be told once all is known here."""
         self._syncs.append(PendingSync(label, incarnation, frame.term, frame.number, frame.jobs))
-        self.settle()
+        self.answer_syncs()
 
-    def settle(self):
+    def answer_syncs(self):
         """Answers syncs once this home knows all there is to know."""
-        if not self._syncs or not self.clean():
+        if not self._syncs or not self.is_reconciled():
             return
         syncs, self._syncs = self._syncs, []
         unheard = sum(len(fence.unheard) for fence in self._fences.values())
         for sync in syncs:
             owner = (sync.label, sync.incarnation)
-            self._news.standing(owner, sync.jobs)
-            self._news.tell(owner, frames.Synced(sync.term, sync.number))
+            self._notifier.send_existing(owner, sync.jobs)
+            self._notifier.notify(owner, frames.ReconcileDone(sync.term, sync.number))
             self._decisions.note(
                 Decision.ALL_TOLD,
                 {"owner": sync.label},
--- a/roadhead/homes/spec_lookup.py
+++ b/roadhead/machines/spec_lookup.py
@@ -2,10 +2,10 @@
 
 import logging
 
-from roadhead.homes.machine import Needs
 from roadhead.jobs.job import FINAL, spec_of
 from roadhead.jobs.records import find
-from roadhead.state.client import Unavailable, Unsure
+from roadhead.machines.machine import TaskRequirements
+from roadhead.state.client import UnavailableError, UnknownOutcomeError
 
 log = logging.getLogger("roadhead.homes")
 
@@ -17,25 +17,25 @@
         self._loop = loop
         self._state = state
         self._retry_s = retry_s
-        self._home = None
+        self._shard_leader = None
         self._under_way = set()  # ids of jobs
 
     def begin(self, home):
         """Another incarnation's Home: what was asked for the one before is dropped."""
-        self._home = home
+        self._shard_leader = home
         self._under_way.clear()
 
     def need(self, job_id):
         """A task of that job was found: its Home is told what the job needs, or that it is over."""
         if job_id not in self._under_way:
             self._under_way.add(job_id)
-            self._loop.spawn(self._look_up(job_id, self._home), f"look up {job_id}")
+            self._loop.spawn(self._look_up(job_id, self._shard_leader), f"look up {job_id}")
 
     async def _look_up(self, job_id, home):
-        while home is self._home:
+        while home is self._shard_leader:
             try:
                 record, _stamp = await find(self._state, job_id)
-            except (Unavailable, Unsure):
+            except (UnavailableError, UnknownOutcomeError):
                 await self._loop.sleep(self._retry_s)
                 continue
             self._tell(home, job_id, record)
@@ -47,15 +47,15 @@
         if record is None:
             log.error("task of unknown job %s found", job_id)
         if record is None or record["s"] in FINAL:
-            home.commanding.spec(job_id, None, over=True)
+            home.task_commands.set_job_requirements(job_id, None, over=True)
             return
         spec = spec_of(record)
-        home.known.owners.setdefault(job_id, tuple(record["o"]))
-        needs = Needs(
+        home.registry.owners.setdefault(job_id, tuple(record["o"]))
+        requirements = TaskRequirements(
             (spec.cpus, spec.gpus, spec.memory),
             spec.image or "",
             spec.image_gb,
             spec.save_s,
             spec.checkpoint_s > 0,
         )
-        home.commanding.spec(job_id, needs, over=False)
+        home.task_commands.set_job_requirements(job_id, requirements, over=False)
--- a/roadhead/homes/commanding.py
+++ b/roadhead/machines/task_commands.py
@@ -1,19 +1,31 @@
 """What owners want done on a home's machines, and what its machines have yet to be told."""
 
 from roadhead.decision_log import Decision
-from roadhead.homes.machine import EXITED, LAUNCHING, Needs, Task, about, fits
+from roadhead.machines.machine import EXITED, LAUNCHING, Task, TaskRequirements, decision_subject, fits
 from roadhead.wire import frames
 
 
-class Commanding:
+class TaskCommands:
     """`ask(machine)` wants a direct request sent to a machine; `lapse_s`: of an unused grant."""
 
-    def __init__(self, loop, known, news, reconciliation, rooms, lapse_s, send, ask, counters, decisions):
+    def __init__(
+        self,
+        loop,
+        registry,
+        notifier,
+        reconciliation,
+        capacity_granter,
+        lapse_s,
+        send,
+        ask,
+        counters,
+        decisions,
+    ):
         self._loop = loop
-        self._known = known
-        self._news = news
+        self._registry = registry
+        self._notifier = notifier
         self._reconciliation = reconciliation
-        self._rooms = rooms
+        self._capacity_granter = capacity_granter
         self._lapse_s = lapse_s
         self._send = send
         self._ask = ask
@@ -22,53 +34,55 @@
 
     def on_start(self, label, incarnation, frame):
         """Tasks of one job for one machine; with `last` the grant comes back after them."""
-        known = self._known
-        machine = known.machines.get(frame.machine)
-        self._rooms.heard(label, frame.length)
-        needs = known.specs.get(frame.job)
-        if needs is None:
-            needs = known.specs[frame.job] = Needs(
+        registry = self._registry
+        machine = registry.machines.get(frame.machine)
+        self._capacity_granter.set_idle_length(label, frame.length)
+        requirements = registry.specs.get(frame.job)
+        if requirements is None:
+            requirements = registry.specs[frame.job] = TaskRequirements(
                 (frame.cpus, frame.gpus, frame.memory),
                 frame.image,
                 frame.image_gb,
                 frame.save_s,
                 frame.saves,
             )
-        known.owners[frame.job] = (label, incarnation)
+        registry.owners[frame.job] = (label, incarnation)
         launched = False
         for index, attempt in frame.tasks:
-            launched = self._start(label, incarnation, frame, machine, needs, index, attempt) or launched
+            launched = (
+                self._start(label, incarnation, frame, machine, requirements, index, attempt) or launched
+            )
         if launched:
             machine.grant_lapse_at = self._loop.now() + self._lapse_s
             self._ask(machine)
         if frame.last:
-            self._rooms.returned(label, machine, frame.serial)
+            self._capacity_granter.release_grant(label, machine, frame.serial)
 
-    def _start(self, label, incarnation, frame, machine, needs, index, attempt):
+    def _start(self, label, incarnation, frame, machine, requirements, index, attempt):
         key = (frame.job, index, attempt)
         if machine is not None and key in machine.tasks:
             return False
         if (
             machine is None
-            or machine.holder != label
+            or machine.grant_holder != label
             or machine.grant_serial != frame.serial
-            or not self._rooms.offerable(machine)
-            or not fits(needs.room, machine.room())
-            or frame.job in self._known.cancelled
+            or not self._capacity_granter.can_grant(machine)
+            or not fits(requirements.resources, machine.free_capacity())
+            or frame.job in self._registry.cancelled
             or (frame.job, index) in machine.attempts
         ):
             self._count("starts_refused")
-            self._send(label, frames.Refused(frame.machine, *key))
+            self._send(label, frames.StartRefused(frame.machine, *key))
             return False
         task = Task(*key, LAUNCHING, (label, incarnation))
-        task.needs = needs
-        machine.put(task)
+        task.requirements = requirements
+        machine.add_task(task)
         machine.grant_taken += 1
         self._count("starts")
         return True
 
     def _task(self, name, *key):
-        machine = self._known.machines.get(name)
+        machine = self._registry.machines.get(name)
         if machine is None:
             return None, None
         return machine, machine.tasks.get(key)
@@ -87,26 +101,26 @@
 
     def on_sync(self, label, incarnation, frame):
         """An owner names its jobs, and tasks of them that it believes here; costs what it names."""
-        known, news = self._known, self._news
+        registry, notifier = self._registry, self._notifier
         owner = (label, incarnation)
         jobs = set(frame.jobs)
         for job in jobs:
-            known.owners[job] = owner
-        for machine, tasks in known.on_machines(jobs).items():
+            registry.owners[job] = owner
+        for machine, tasks in registry.tasks_by_machine(jobs).items():
             for task in tasks:
                 task.owner = owner
-            news.states(machine, tasks, True)
+            notifier.send_states(machine, tasks, True)
         for name, job, index, attempt in frame.claims:
             key = (job, index, attempt)
-            machine = known.machines.get(name)
-            if name in known.gone:
-                self._send(label, frames.Free(name, *key, "gone"))
+            machine = registry.machines.get(name)
+            if name in registry.gone:
+                self._send(label, frames.AttemptGone(name, *key, "gone"))
             elif machine is not None and key in machine.tasks:
                 if job not in jobs:
                     machine.tasks[key].owner = owner
-                    news.states(machine, [machine.tasks[key]], True)
-            elif machine is not None and machine.confirmed == machine.token:
-                self._send(label, frames.Free(name, *key, "not there"))
+                    notifier.send_states(machine, [machine.tasks[key]], True)
+            elif machine is not None and machine.confirmed_token == machine.token:
+                self._send(label, frames.AttemptGone(name, *key, "not there"))
             else:
                 self._reconciliation.claim(name, key, owner)
         self._reconciliation.sync(label, incarnation, frame)
@@ -114,35 +128,35 @@
     def cancel(self, jobs):
         """Jobs that are over: what is left of them stops."""
         now = self._loop.now()
-        cancelled = self._known.cancelled
+        cancelled = self._registry.cancelled
         fresh = [job for job in dict.fromkeys(jobs) if job not in cancelled]
         for job in fresh:
             cancelled[job] = now
-        for machine, tasks in self._known.on_machines(fresh).items():
+        for machine, tasks in self._registry.tasks_by_machine(fresh).items():
             for task in tasks:
                 machine.stop(task, 0.0)
                 if task.status == EXITED:
                     machine.forget(task)
             self._ask(machine)
 
-    def spec(self, job, spec, *, over):
+    def set_job_requirements(self, job, spec, *, over):
         """The needs of a job's tasks, read from its record; `over`: it is done or cancelled."""
         if spec is not None:
-            self._known.specs[job] = spec
+            self._registry.specs[job] = spec
         if over:
             self.cancel([job])
         if spec is None:
             return
-        for machine, tasks in self._known.on_machines([job]).items():
+        for machine, tasks in self._registry.tasks_by_machine([job]).items():
             for task in tasks:
-                if task.needs is None:
-                    machine.learn(task, spec)
-            self._news.states(machine, tasks, True)
-            self._rooms.changed(machine)
+                if task.requirements is None:
+                    machine.set_requirements(task, spec)
+            self._notifier.send_states(machine, tasks, True)
+            self._capacity_granter.on_capacity_changed(machine)
 
     # On the way to the machines
 
-    def sending(self, machine, launches):
+    def begin_direct_send(self, machine, launches):
         """Launches are about to be sent directly; returns those on their way for the first time.
 
         Until the answer comes they may arrive at any later time, even if a report has shown
@@ -150,15 +164,17 @@
         """
         for task in launches:
             self._decisions.note(
-                Decision.LAUNCH_SENT, about(machine, task), path="repeat" if task.loose_token else "direct"
+                Decision.LAUNCH_SENT,
+                decision_subject(machine, task),
+                path="repeat" if task.unacked_launch_token else "direct",
             )
-        fresh = [task for task in launches if not task.loose_token]
+        fresh = [task for task in launches if not task.unacked_launch_token]
         for task in fresh:
-            task.loose_token = machine.token
+            task.unacked_launch_token = machine.token
         return fresh
 
     @staticmethod
-    def settled(fresh):
+    def end_direct_send(fresh):
         """These launches were answered, or never left."""
         for task in fresh:
-            task.loose_token = 0
+            task.unacked_launch_token = 0
--- a/roadhead/homes/workers.py
+++ b/roadhead/machines/worker_client.py
@@ -3,15 +3,15 @@
 import logging
 
 from roadhead.decision_log import Decision
-from roadhead.homes.machine import about
+from roadhead.machines.machine import decision_subject
 from roadhead.wire import messages
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 log = logging.getLogger("roadhead.workers")
 
 
-class Workers:
-    """At most `sockets.orders_most` requests are under way at once, half of them to machines that
+class WorkerClient:
+    """At most `sockets.max_command_requests` requests are under way at once, half of them to machines that
     were not heard for `silent_s`: those that answer don't wait for those that don't.
     """
 
@@ -21,7 +21,7 @@
         self._member = member
         self._timeout_s = timeout_s
         self._may_command = may_command
-        self.home = None
+        self.shard_leader = None
         self._silent_s = silent_s
         self._sockets = sockets
         self._decisions = decisions
@@ -31,17 +31,17 @@
 
     def ask(self, machine):
         """Sends the machine what it has yet to carry out, or just shows it our token."""
-        if machine.asking:
-            machine.wanting = True
+        if machine.request_in_flight:
+            machine.request_again = True
             return
-        machine.asking = True
+        machine.request_in_flight = True
         heard_at = machine.heard_at
         silent = heard_at is None or self._loop.now() - heard_at > self._silent_s
         self._queues[silent][machine] = True
         self._next()
 
     def _next(self):
-        most = self._sockets.orders_most
+        most = self._sockets.max_command_requests
         for silent, queue in enumerate(self._queues):
             while queue and sum(self._asking) < most and (not silent or 2 * self._asking[1] < most):
                 machine = next(iter(queue))
@@ -50,10 +50,10 @@
                 self._loop.spawn(self._ask(machine, silent), f"ask {machine.id}")
 
     async def _ask(self, machine, silent):
-        home = self.home
+        home = self.shard_leader
         try:
             while True:
-                machine.wanting = False
+                machine.request_again = False
                 if home.machines.get(machine.id) is not machine or not self._member.joined:
                     return
                 if not self._may_command():
@@ -64,11 +64,11 @@
                 if report is None:
                     return
                 if home.machines.get(machine.id) is machine and self._member.joined:
-                    home.hearing.observe(machine, report)
-                if not machine.wanting:
+                    home.report_processor.observe(machine, report)
+                if not machine.request_again:
                     return
         finally:
-            machine.asking = False
+            machine.request_in_flight = False
             self._asking[silent] -= 1
             self._next()
 
@@ -78,7 +78,7 @@
         if client is None or client.address != machine.address:
             client = Client(self._loop, self._net, machine.address, max_idle=1, max_body=1 << 20)
         self._clients[machine.id] = client
-        if len(self._clients) > max(self._sockets.orders_kept, sum(self._asking)):
+        if len(self._clients) > max(self._sockets.max_idle_command_connections, sum(self._asking)):
             self.forget([next(iter(self._clients))])
         return client
 
@@ -88,38 +88,40 @@
         # report (409), from which it is learned.
         for _ in range(2):
             orders, launches = machine.orders()
-            if machine.confirmed != machine.token:
+            if machine.confirmed_token != machine.token:
                 orders, launches = [], []
             elif not orders:
                 return None
             session = machine.session or 1
             body = messages.commands(machine.token, session, orders)
-            fresh = self.home.commanding.sending(machine, launches)
+            fresh = self.shard_leader.task_commands.begin_direct_send(machine, launches)
             try:
                 status, data, _headers = await client.request("POST", "/commands", body, self._timeout_s)
-            except NoAnswer as error:
+            except NoResponseError as error:
                 log.debug("commands to %s: %s", machine.id, error)
                 if not error.sent:
-                    self.home.commanding.settled(fresh)
+                    self.shard_leader.task_commands.end_direct_send(fresh)
                 return None
-            self.home.commanding.settled(fresh)
+            self.shard_leader.task_commands.end_direct_send(fresh)
             if orders and not (self._member.joined and self._may_command()):
                 # It named the session: what came late was executed in one that its lease still bounds.
                 self._decisions.count("authority_lost")
-                self._decisions.note(Decision.AUTHORITY_LOST, about(machine), status=status, session=session)
+                self._decisions.note(
+                    Decision.AUTHORITY_LOST, decision_subject(machine), status=status, session=session
+                )
             if status not in (200, 409):
                 return None
             try:
-                report = messages.read(data, messages.Report)
+                report = messages.decode_as(data, messages.Report)
                 report.check()
-            except messages.Invalid as error:
+            except messages.InvalidMessageError as error:
                 log.error("answer of %s: %s", machine.id, error)
                 return None
             if status == 200 or report.session == session:
                 return report
-            if self.home.machines.get(machine.id) is not machine:
+            if self.shard_leader.machines.get(machine.id) is not machine:
                 return None  # its share was given away meanwhile: it is another's to hear and command
-            self.home.hearing.observe(machine, report)
+            self.shard_leader.report_processor.observe(machine, report)
         return None
 
     async def reached(self, addresses):
@@ -130,7 +132,7 @@
             try:
                 await client.request("GET", "/inspect", b"", self._timeout_s)
                 count += 1
-            except NoAnswer:
+            except NoResponseError:
                 pass
         return count
 
@@ -147,4 +149,4 @@
         self.forget(list(self._clients))
 
     def trim(self):
-        self.forget([name for name in self._clients if name not in self.home.machines])
+        self.forget([name for name in self._clients if name not in self.shard_leader.machines])
--- a/roadhead/membership/touch.py
+++ b/roadhead/membership/cancellation_freshness.py
@@ -6,11 +6,12 @@
 sockets and no clocks here: times, in seconds of the loop, come in as arguments.
 """
 
-KEPT = 8  # times `cancel_s` for which a cancellation is passed on: by then nothing of its job is anywhere
-SILENT_BEATS = 3.5  # a link that is silent for longer is given up: no beat heard is older
+# times `cancel_s` for which a cancellation is passed on: by then nothing of its job is anywhere
+CANCELLATION_KEPT_FACTOR = 8
+SILENT_HEARTBEATS = 3.5  # a link that is silent for longer is given up: no beat heard is older
 
 
-class Cancellations:
+class KnownCancellations:
     """Ids of jobs known to be cancelled, for `keep_s` seconds each.
 
     New ones cost the state service a write each, so that its rates bound them; Node bounds the old ones that
@@ -24,7 +25,7 @@
     def __len__(self):
         return len(self._since)
 
-    def learn(self, jobs, now):
+    def add_new(self, jobs, now):
         """Those of them that are new here."""
         fresh = [job for job in dict.fromkeys(jobs) if job not in self._since]
         self._since.update(dict.fromkeys(fresh, now))
@@ -33,7 +34,7 @@
     def all(self):
         return list(self._since)
 
-    def knows(self, job):
+    def contains(self, job):
         return job in self._since
 
     def prune(self, now):
@@ -42,7 +43,7 @@
             del self._since[next(iter(self._since))]
 
 
-class Touch:
+class CancellationFreshness:
     """Until when all that users were told is known here. `blind_s`: for how long that may lie back before
     workers must be let go of; `keep_s`: of the other controllers' Cancellations."""
 
@@ -51,7 +52,7 @@
         self._most_s = keep_s / 2  # by another clock, and told a while ago: well within it
         self.known_at = -1e9
 
-    def look(self, watched_at, heard_at):
+    def refresh(self, watched_at, heard_at):
         """`watched_at`: when the newest watch that was answered was sent; `heard_at`: by then all other
         controllers had spoken, and none is out of reach; None if that can't be said.
 
@@ -62,6 +63,6 @@
         if heard_at is not None and heard_at - self.known_at < self._most_s:
             self.known_at = max(self.known_at, heard_at)
 
-    def fresh(self, now):
+    def is_within_staleness_bound(self, now):
         """Whether workers may be renewed and commanded."""
         return now - self.known_at < self._blind_s
--- a/roadhead/membership/member.py
+++ b/roadhead/membership/member.py
@@ -3,10 +3,16 @@
 import logging
 import secrets
 
-from roadhead.membership.gate import GATE
+from roadhead.membership.format_gate import GATE
 from roadhead.membership.term import Term
 from roadhead.runtime.loop import Signal
-from roadhead.state.client import Conflict, LeaseGone, TooOld, Unavailable, Unsure
+from roadhead.state.client import (
+    CompactedError,
+    ConflictError,
+    LeaseExpiredError,
+    UnavailableError,
+    UnknownOutcomeError,
+)
 
 log = logging.getLogger("roadhead.member")
 
@@ -32,8 +38,8 @@
         on_term,
         on_lost,
         on_cancel,
-        gate,
-        slots=1,
+        format_gate,
+        partitions=1,
         on_tenant=None,
         time_of_day=None,
     ):
@@ -45,9 +51,9 @@
         self._on_term = on_term
         self._on_lost = on_lost
         self._on_cancel = on_cancel
-        self.gate = gate
+        self.format_gate = format_gate
         self._time_of_day = time_of_day
-        self._slots = slots  # of wardens, in a term that has fewer
+        self._slots = partitions  # of wardens, in a term that has fewer
         self._on_tenant = on_tenant  # (key, record, stamp) of a tenant's record, or None
         self.term = None
         self.revision = 0
@@ -72,15 +78,15 @@
     def joined(self):
         return self.incarnation != 0
 
-    def lapsed(self):
+    def lease_may_have_expired(self):
         """True if the lease may have ended: others may go on without this member."""
         return self._loop.now() - self.renewed_at > self._lease_s * (1 - DRIFT)
 
-    def takes_on(self, share):
+    def may_take_on(self, shard):
         """Whether a machine of a share that the term gives to this member may be heard for the first time:
         nobody else can be its home by now, as after a lapse, or a move whose outcome is not known. A new
         home does not wait for machines that came up since it was their home (safety 3)."""
-        return not (self.lapsed() or self._ending or share in self._offered)
+        return not (self.lease_may_have_expired() or self._ending or shard in self._offered)
 
     def adopt(self, record, revision):
         """Takes a term record that is newer than the one known."""
@@ -103,7 +109,7 @@
             try:
                 if not await self._join():
                     continue
-            except (Unavailable, Unsure, Conflict, LeaseGone) as error:
+            except (UnavailableError, UnknownOutcomeError, ConflictError, LeaseExpiredError) as error:
                 log.debug("joining: %r", error)
                 await self._loop.sleep(self._lease_s / 20)
                 continue
@@ -125,13 +131,13 @@
         self.replaced = False
         while True:
             await self._read_all()
-            if self.gate.outdated:
+            if self.format_gate.is_outdated:
                 if not self._said_outdated:
                     self._said_outdated = True
                     log.error(
                         "the records are of format %d, this version knows %d: it serves nothing",
-                        self.gate.force,
-                        self.gate.knows,
+                        self.format_gate.in_force,
+                        self.format_gate.knows,
                     )
                 await self._loop.sleep(self._lease_s)
                 return False
@@ -140,7 +146,7 @@
             if entry is not None and entry[2] == nonce:
                 break  # an earlier try went through although its answer was lost
             self.replaced = entry is not None and self.label not in term.relieved
-            new = term.spread(self._slots).join(self.label, nonce)
+            new = term.with_partitions(self._slots).join(self.label, nonce)
             try:
                 await self._state.multi(
                     [(TERM, self.revision)],
@@ -153,7 +159,7 @@
                         },
                     ],
                 )
-            except (Conflict, Unsure):
+            except (ConflictError, UnknownOutcomeError):
                 continue
         self.renewed_at = sent_at
         self.incarnation = entry[0]
@@ -165,14 +171,14 @@
         return True
 
     def _entry(self, incarnation):
-        return {"incarnation": incarnation, "format": self.gate.knows}
+        return {"incarnation": incarnation, "format": self.format_gate.knows}
 
     def _take_gate(self, record, stamp):
-        was = self.gate.force
-        self.gate.take(record, stamp)
-        if self.gate.force != was:
-            log.info("format %d is in force", self.gate.force)
-        if self.gate.outdated and self.joined:
+        was = self.format_gate.in_force
+        self.format_gate.take(record, stamp)
+        if self.format_gate.in_force != was:
+            log.info("format %d is in force", self.format_gate.in_force)
+        if self.format_gate.is_outdated and self.joined:
             self._lose()
 
     def _lose(self):
@@ -181,13 +187,15 @@
         self._lost.set()
         self._on_lost()
 
-    def raise_gate(self):
+    def advance_format_gate(self):
         """Writes down what versions were seen, and opens the gate once all are new: one of the members
         that know the newest does it."""
-        newest = [label for label in sorted(self.term.members) if self._present.get(label) == self.gate.knows]
+        newest = [
+            label for label in sorted(self.term.members) if self._present.get(label) == self.format_gate.knows
+        ]
         if not newest or newest[0] != self.label or self._raising:
             return
-        record = self.gate.following(dict(self._present), self._time_of_day())
+        record = self.format_gate.next_record(dict(self._present), self._time_of_day())
         if record is not None:
             self._raising = True
             self._loop.spawn(self._raise_gate(record), "gate")
@@ -196,10 +204,10 @@
         # Whoever joins changes the term: none that was not looked at is a member then.
         try:
             stamp = await self._state.multi(
-                [(GATE, self.gate.stamp), (TERM, self.revision)], [{"put": GATE, "data": record}]
+                [(GATE, self.format_gate.stamp), (TERM, self.revision)], [{"put": GATE, "data": record}]
             )
             self._take_gate(record, stamp)
-        except (Unavailable, Unsure, Conflict) as error:
+        except (UnavailableError, UnknownOutcomeError, ConflictError) as error:
             log.debug("gate: %r", error)
         finally:
             self._raising = False
@@ -229,7 +237,7 @@
         self.watched_at = max(self.watched_at, sent_at)
         self.term_at = max(self.term_at, sent_at)
 
-    async def confirm(self):
+    async def confirm_term(self):
         """Reads the term, and adopts it if it is newer. Raises Unavailable or Unsure."""
         sent_at = self._loop.now()
         record, revision = await self._state.get(TERM)
@@ -241,13 +249,13 @@
         while True:
             sent_at = self._loop.now()
             try:
-                await self._state.touch(self._permit)
+                await self._state.renew_lease(self._permit)
                 self.renewed_at = sent_at
-            except LeaseGone:
+            except LeaseExpiredError:
                 # The lease ended, but nobody may have dropped us yet: if so, stay under
                 # a new lease, else the term read here shows that we are out.
                 await self._new_lease()
-            except (Unavailable, Unsure) as error:
+            except (UnavailableError, UnknownOutcomeError) as error:
                 log.debug("renewal: %r", error)
                 await self._loop.sleep(self._lease_s / 24)
                 continue
@@ -273,7 +281,7 @@
                 ],
             )
             self._permit, self.renewed_at = permit, sent_at
-        except (Unavailable, Unsure, Conflict, LeaseGone) as error:
+        except (UnavailableError, UnknownOutcomeError, ConflictError, LeaseExpiredError) as error:
             log.debug("new lease: %r", error)
             await self._loop.sleep(self._lease_s / 24)
 
@@ -282,13 +290,13 @@
             sent_at = self._loop.now()
             try:
                 events, revision = await self._state.changes(PREFIX, self._seen, self._watch_s)
-            except TooOld:
+            except CompactedError:
                 try:
                     await self._read_all()
-                except (Unavailable, Unsure):
+                except (UnavailableError, UnknownOutcomeError):
                     await self._loop.sleep(self._lease_s / 24)
                 continue
-            except (Unavailable, Unsure) as error:
+            except (UnavailableError, UnknownOutcomeError) as error:
                 log.debug("watch: %r", error)
                 await self._loop.sleep(self._lease_s / 24)
                 continue
@@ -319,14 +327,14 @@
             if cancelled:
                 self._on_cancel(cancelled)
 
-    async def newest_mark(self):
+    async def newest_cancellation_at(self):
         """When the last cancellation became known here of a job that may have tasks yet, None without any;
         of all that were durable when this was called. Raises Unavailable or Unsure."""
         items, _revision = await self._state.list(CANCEL)
         now = self._loop.now()
         return max((self._marks.get(key, now) for key, _value, _stamp in items), default=None)
 
-    def stale_marks(self, age_s):
+    def stale_cancellation_marks(self, age_s):
         """Keys of cancellations' marks that have been there for so long that nobody needs them: whose
         owner ended before it could drop them. One member names them."""
         before = self._loop.now() - age_s
@@ -350,17 +358,17 @@
                 new = self.term.drop(absent)
                 try:
                     await self._write_term(new, ((MEMBER + label, 0) for label in absent))
-                except (Unavailable, Unsure, Conflict) as error:
+                except (UnavailableError, UnknownOutcomeError, ConflictError) as error:
                     log.debug("drop: %r", error)
                     await self._loop.sleep(self._lease_s / 12)
                     try:
                         await self._read_all()
-                    except (Unavailable, Unsure):
+                    except (UnavailableError, UnknownOutcomeError):
                         pass
 
-    def want_new_token(self, share):
+    def want_new_token(self, shard):
         """Asks for a higher token, so that unanswered commands can't be executed any more."""
-        self._want("raise_share", share)
+        self._want("raise_share", shard)
 
     def relieve(self, label):
         """Workers of a member that is otherwise well can't reach it: others shall be their homes."""
@@ -386,16 +394,16 @@
         )
         self.adopt(record, revision)
 
-    async def give(self, slots):
+    async def hand_over_partitions(self, partitions):
         """Hands slots of wardens on: True if it is so, False if not, None if that is not known."""
-        new = self.term.give(slots)
+        new = self.term.assign_partitions(partitions)
         try:
             await self._write_term(new)
-        except (Unavailable, Conflict):
+        except (UnavailableError, ConflictError):
             return False
-        except Unsure:
+        except UnknownOutcomeError:
             return None
-        log.info("handed on slots of wardens: %s", slots)
+        log.info("handed on slots of wardens: %s", partitions)
         return True
 
     async def move(self, moves):
@@ -410,24 +418,24 @@
         self._offered.update(moves)
         try:
             await self._write_term(new)
-        except (Unavailable, Conflict, Unsure) as error:
+        except (UnavailableError, ConflictError, UnknownOutcomeError) as error:
             log.debug("move of shares: %r", error)
 
     async def leave(self):
         """Gives up what this member holds, first its shares, so that it can hand them over, then its place:
         its jobs fall to heirs at once. Returns once it is out, or if there is nobody to give it to."""
         self._ending = True
-        while self.joined and (others := self.term.homes - {self.label}):
-            if moves := self.term.shares.spread({self.label}, others):
+        while self.joined and (others := self.term.leaders - {self.label}):
+            if moves := self.term.shard_map.redistribute({self.label}, others):
                 await self.move(moves)
-                if self.term.held(self.label):
+                if self.term.shards_of(self.label):
                     await self._loop.sleep(self._lease_s / 24)
                     continue
             new = self.term.drop({self.label})
             log.info("leaving: term %d", new.number)
             try:
                 await self._write_term(new, writes=[{"drop": MEMBER + self.label}])
-            except (Unavailable, Conflict, Unsure) as error:
+            except (UnavailableError, ConflictError, UnknownOutcomeError) as error:
                 log.debug("leaving: %r", error)
                 await self._loop.sleep(self._lease_s / 24)
 
@@ -443,7 +451,7 @@
             log.info("amending the term: %s", amendments)
             try:
                 await self._write_term(new)
-            except (Unavailable, Unsure, Conflict) as error:
+            except (UnavailableError, UnknownOutcomeError, ConflictError) as error:
                 log.debug("amendment: %r", error)
                 for amendment in amendments:  # wanted again soon, if it still is
                     self._not_before[amendment] = self._loop.now() + self._lease_s / 12
--- a/roadhead/membership/term.py
+++ b/roadhead/membership/term.py
@@ -2,15 +2,15 @@
 
 from hashlib import blake2b
 
-from roadhead.shares.hashing import pick
-from roadhead.shares.map import Shares
+from roadhead.shards.hashing import rendezvous_choice
+from roadhead.shards.map import ShardMap
 
 
 class Term:
     """`members` maps a label to (incarnation, token, nonce).
 
     An incarnation is the number that its process took when it joined; numbers are never
-    given twice, and tokens are such numbers. `shares` says which machines are whose: a change
+    given twice, and tokens are such numbers. `shard_map` says which machines are whose: a change
     renews the tokens of the shares that it moves, and no others. Only a term without members has none;
     the tokens of members are read by nobody any more.
     A warden owns the jobs of the teams with a limit that fall to one of its slots, by hash of their
@@ -20,41 +20,43 @@
     could not reach them. One member at least is a home.
     """
 
-    __slots__ = ("homes", "members", "next", "number", "relieved", "shares", "wardens")
+    __slots__ = ("leaders", "members", "next", "number", "quota_leaders", "relieved", "shard_map")
 
-    def __init__(self, number=0, next_token=1, members=None, wardens=(None,), relieved=(), shares=None):
+    def __init__(
+        self, number=0, next_token=1, members=None, quota_leaders=(None,), relieved=(), shard_map=None
+    ):
         self.number = number
         self.next = next_token
         self.members = members or {}
-        self.wardens = tuple(wardens)
-        homes = [label for label in self.members if label not in relieved]
-        self.relieved = frozenset(self.members).intersection(relieved) if homes else frozenset()
-        self.homes = frozenset(homes or self.members)
-        self.shares = shares
+        self.quota_leaders = tuple(quota_leaders)
+        leaders = [label for label in self.members if label not in relieved]
+        self.relieved = frozenset(self.members).intersection(relieved) if leaders else frozenset()
+        self.leaders = frozenset(leaders or self.members)
+        self.shard_map = shard_map
 
     @classmethod
     def from_record(cls, record):
         members = {label: tuple(entry) for label, entry in record["members"].items()}
-        wardens = record.get("wardens") or [record["warden"]]
-        shares = record.get("shares")
+        quota_leaders = record.get("wardens") or [record["warden"]]
+        shard_map = record.get("shares")
         return cls(
             record["number"],
             record["next"],
             members,
-            wardens,
+            quota_leaders,
             record.get("relieved", ()),
-            Shares.from_record(shares) if shares else None,
+            ShardMap.from_record(shard_map) if shard_map else None,
         )
 
     def to_record(self):
         return {
             "number": self.number,
             "next": self.next,
-            "warden": self.wardens[0],
-            **({"wardens": list(self.wardens)} if len(self.wardens) > 1 else {}),
+            "warden": self.quota_leaders[0],
+            **({"wardens": list(self.quota_leaders)} if len(self.quota_leaders) > 1 else {}),
             "relieved": sorted(self.relieved),
             "members": {label: list(entry) for label, entry in self.members.items()},
-            **({"shares": self.shares.to_record()} if self.shares is not None else {}),
+            **({"shares": self.shard_map.to_record()} if self.shard_map is not None else {}),
         }
 
     def _next(self, members, relieved, moves):
@@ -63,9 +65,11 @@
         token = self.next
         entries = dict(members)
         new = Term(self.number + 1, token + 1, entries, self._heirs(entries), relieved)
-        if new.homes:
-            lost = set(self.shares.homes) - new.homes
-            new.shares = self.shares.give({**self.shares.spread(lost, new.homes), **moves}, token)
+        if new.leaders:
+            lost = set(self.shard_map.leaders) - new.leaders
+            new.shard_map = self.shard_map.reassign(
+                {**self.shard_map.redistribute(lost, new.leaders), **moves}, token
+            )
         return new
 
     def _renewed(self, members, changed, relieved=None):
@@ -74,49 +78,49 @@
             relieved = self.relieved - changed
         # Their machines have the same home under a new incarnation: it knows nothing of them.
         return self._next(
-            members, relieved, {share: label for label in changed for share in self.shares.of(label)}
+            members, relieved, {shard: label for label in changed for shard in self.shard_map.of(label)}
         )
 
     def _heirs(self, entries):
         """The wardens among the next term's members: slots of those gone go to who has fewest."""
-        wardens = [
+        quota_leaders = [
             label if label in entries and self.incarnation(label) == entries[label][0] else None
-            for label in self.wardens
+            for label in self.quota_leaders
         ]
-        for slot, label in enumerate(wardens):
+        for slot, label in enumerate(quota_leaders):
             if label is None and entries:
-                fewest = min(wardens.count(member) for member in entries)
-                wardens[slot] = pick(
-                    [member for member in entries if wardens.count(member) == fewest],
+                fewest = min(quota_leaders.count(member) for member in entries)
+                quota_leaders[slot] = rendezvous_choice(
+                    [member for member in entries if quota_leaders.count(member) == fewest],
                     f"warden {slot}" if slot else "warden",
                 )
-        return wardens
+        return quota_leaders
 
-    def spread(self, slots):
+    def with_partitions(self, partitions):
         """This term with that many slots, where it has fewer: those added have yet to be given out."""
-        if len(self.wardens) >= slots:
+        if len(self.quota_leaders) >= partitions:
             return self
-        wardens = [*self.wardens, *[None] * (slots - len(self.wardens))]
-        return Term(self.number, self.next, self.members, wardens, self.relieved, self.shares)
+        quota_leaders = [*self.quota_leaders, *[None] * (partitions - len(self.quota_leaders))]
+        return Term(self.number, self.next, self.members, quota_leaders, self.relieved, self.shard_map)
 
-    def give(self, slots):
-        """The next term, in which each slot of `slots` has the warden named there."""
-        wardens = [slots.get(slot, label) for slot, label in enumerate(self.wardens)]
-        return Term(self.number + 1, self.next, self.members, wardens, self.relieved, self.shares)
+    def assign_partitions(self, partitions):
+        """The next term, in which each slot of `partitions` has the warden named there."""
+        quota_leaders = [partitions.get(slot, label) for slot, label in enumerate(self.quota_leaders)]
+        return Term(self.number + 1, self.next, self.members, quota_leaders, self.relieved, self.shard_map)
 
-    def warden(self, group):
+    def quota_leader(self, group):
         """The label of the warden of a group of teams with a limit."""
-        return self.wardens[self.slot(group)]
+        return self.quota_leaders[self.partition_of(group)]
 
-    def slot(self, group):
-        if len(self.wardens) == 1:
+    def partition_of(self, group):
+        if len(self.quota_leaders) == 1:
             return 0
         number = int.from_bytes(blake2b(group.encode(), digest_size=4).digest(), "big")
-        return number % len(self.wardens)
+        return number % len(self.quota_leaders)
 
     def join(self, label, nonce):
         """The label's new incarnation serves. A label that is new is home to nothing at first, unless
-        it is alone; its part is given to it a step at a time (shares/balance.py)."""
+        it is alone; its part is given to it a step at a time (shards/balance.py)."""
         members = dict(self.members)
         members[label] = (self.next, self.next, nonce)
         if not self.members:
@@ -126,7 +130,7 @@
                 members,
                 self._heirs(members),
                 (),
-                Shares.even([label], self.next),
+                ShardMap.even([label], self.next),
             )
         return self._renewed(members, {label})
 
@@ -134,22 +138,22 @@
         members = {label: entry for label, entry in self.members.items() if label not in labels}
         return self._renewed(members, set())
 
-    def raise_share(self, share):
+    def raise_share(self, shard):
         """A higher token for the machines of a share."""
-        return self._next(self.members, self.relieved, {share: self.shares.homes[share]})
+        return self._next(self.members, self.relieved, {shard: self.shard_map.leaders[shard]})
 
     def move(self, moves, giver):
         """The next term, in which shares that are still the giver's have the homes named in `moves`."""
         moves = {
-            share: label
-            for share, label in moves.items()
-            if label in self.homes and self.shares.homes[share] == giver
+            shard: label
+            for shard, label in moves.items()
+            if label in self.leaders and self.shard_map.leaders[shard] == giver
         }
         return self._next(self.members, self.relieved, moves) if moves else self
 
     def relieve(self, label):
         """The label's machines get other homes; this term if that can't be."""
-        if not self.homes - {label} or label not in self.homes:
+        if not self.leaders - {label} or label not in self.leaders:
             return self
         return self._renewed(dict(self.members), set(), self.relieved | {label})
 
@@ -167,28 +171,28 @@
 
     # Machines
 
-    def share(self, machine):
-        return self.shares.share(machine)
+    def shard_of(self, machine):
+        return self.shard_map.shard_of(machine)
 
-    def home(self, machine):
+    def leader_of(self, machine):
         """The label of the machine's home."""
-        return self.shares.homes[self.shares.share(machine)]
+        return self.shard_map.leaders[self.shard_map.shard_of(machine)]
 
-    def place(self, machine):
+    def leader_and_token(self, machine):
         """(home, token): who commands the machine, and by which right."""
-        share = self.shares.share(machine)
-        return self.shares.homes[share], self.shares.tokens[share]
+        shard = self.shard_map.shard_of(machine)
+        return self.shard_map.leaders[shard], self.shard_map.tokens[shard]
 
-    def held(self, label):
+    def shards_of(self, label):
         """{share: token} of the shares that a label is home to."""
-        return self.shares.of(label)
+        return self.shard_map.of(label)
 
     def roster(self):
         """Whoever owns jobs: as long as it stays the same, nobody inherits any."""
-        return ({label: entry[0] for label, entry in self.members.items()}, self.wardens)
+        return ({label: entry[0] for label, entry in self.members.items()}, self.quota_leaders)
 
-    def heir(self, job, label, group):
+    def successor(self, job, label, group):
         """Who takes over a job of a dropped incarnation of `label`; `group`: of a limited team."""
         if group is not None:
-            return self.warden(group)
-        return label if label in self.members else pick(self.members, job)
+            return self.quota_leader(group)
+        return label if label in self.members else rendezvous_choice(self.members, job)
--- a/roadhead/node.py
+++ b/roadhead/node.py
@@ -5,43 +5,43 @@
 import time
 from functools import partial
 
-from roadhead.admission.feasibility import why_never
-from roadhead.admission.sockets import Sockets
+from roadhead.admission.feasibility import infeasibility
+from roadhead.admission.socket_budget import SocketBudget
 from roadhead.api.answers import Cause, RefusedError, refusal_events
 from roadhead.api.server import Api
 from roadhead.cloud.client import CloudClient
 from roadhead.decision_log import DecisionLog
-from roadhead.dispatch.aims import class_aims, shortest_aims
 from roadhead.dispatch.dispatcher import Dispatcher
+from roadhead.dispatch.targets import class_targets, shortest_targets
 from roadhead.fleet.fleet import Fleet
-from roadhead.homes.home import SILENT_REPORTS, Home
-from roadhead.homes.spec_lookup import SpecLookup
-from roadhead.homes.workers import Workers
-from roadhead.jobs.book import Book
-from roadhead.jobs.guards import NO_GUARDS
-from roadhead.jobs.job import FORMAT, KEY, SHELF, before, closing_above, shorten
-from roadhead.jobs.quota_spreading import QuotaSpreading
+from roadhead.frame_router import FrameRouter
+from roadhead.jobs.creation_guards import NO_GUARDS
+from roadhead.jobs.deadline_risk import DeadlineTracker
+from roadhead.jobs.job import ARCHIVE, FORMAT, KEY, awaited_ids, cancelled_with_ancestor_record, for_polls
+from roadhead.jobs.job_store import JobStore
+from roadhead.jobs.quota_balancer import QuotaBalancer
 from roadhead.jobs.recorder import Recorder
-from roadhead.jobs.records import Shelf, complete, find
-from roadhead.jobs.risk import Risk
+from roadhead.jobs.records import RecordArchiver, complete, find
 from roadhead.jobs.teams import FixedTeams
-from roadhead.membership.authority import Authority, blind_for_s
-from roadhead.membership.gate import Gate
+from roadhead.machines.shard_leader import SILENT_REPORTS, ShardLeader
+from roadhead.machines.spec_lookup import SpecLookup
+from roadhead.machines.worker_client import WorkerClient
+from roadhead.membership.authority import Authority, max_staleness_s
+from roadhead.membership.cancellation_freshness import CANCELLATION_KEPT_FACTOR, KnownCancellations
+from roadhead.membership.format_gate import FormatGate
 from roadhead.membership.member import Member
 from roadhead.membership.peers import Peers
-from roadhead.membership.touch import KEPT, Cancellations
 from roadhead.periodic_duties import PeriodicDuties
 from roadhead.pipelines.ancestry import Ancestry
-from roadhead.pipelines.line import Line
-from roadhead.pipelines.parts import Parts
-from roadhead.recovery.takeover import Takeover
+from roadhead.pipelines.dependency_queue import DependencyQueue
+from roadhead.pipelines.upstream_parts import UpstreamParts
+from roadhead.recovery.failover import JobFailover
 from roadhead.runtime.loop import Timeout
-from roadhead.shares.keeper import Keeper
-from roadhead.state.client import StateClient, Unavailable
-from roadhead.state.reader import Reader
+from roadhead.shards.balancer import ShardBalancer
+from roadhead.state.client import StateClient, UnavailableError
+from roadhead.state.record_reader import RecordReader
 from roadhead.summary import Summary
-from roadhead.switchboard import Switchboard
-from roadhead.telemetry import EVENTS, Counters, Troubles
+from roadhead.telemetry import EVENTS, Counters, TroubleLog
 from roadhead.wire import frames
 from roadhead.wire.messages import JOB_ID
 
@@ -68,8 +68,8 @@
         workers = deployment.workers
         self.counters = Counters({**EVENTS, **refusal_events()})
         self.decisions = DecisionLog(time_of_day, self.counters)
-        self.troubles = Troubles(loop.now, time_of_day)
-        self.desk = hosted  # tenants/desk.py, where tenants are served
+        self.troubles = TroubleLog(loop.now, time_of_day)
+        self.tenant_admission = hosted  # tenants/admission_controller.py, where tenants are served
         state_limits = deployment.state if hosted is None else hosted.left_of(deployment.state)
         self.state = StateClient(
             loop, net, settings.external.state, state_limits, deployment.nodes, self._on_lowered
@@ -77,50 +77,52 @@
         self.ancestry = Ancestry(
             loop,
             self.state,
-            lambda job: (record := self.book.finals.get(job)) and record["s"],
-            lambda job, record: self.book.remember(job, record),
+            lambda job: (record := self.job_store.final_records.get(job)) and record["s"],
+            lambda job, record: self.job_store.remember_final(job, record),
             partial(find, self.state),
             partial(complete, self.state),
-            before,
-            closing_above,
-            (KEY, SHELF),
+            awaited_ids,
+            cancelled_with_ancestor_record,
+            (KEY, ARCHIVE),
         )
-        self.reader = Reader(
+        self.record_reader = RecordReader(
             loop,
             self.state,
             POLL_PART * POLL_S,
-            (KEY, SHELF),
+            (KEY, ARCHIVE),
             partial(complete, self.state),
-            shorten,
+            for_polls,
             self.ancestry.derive,
         )
         self.cloud = CloudClient(loop, net, settings.external.cloud, deployment.cloud, deployment.nodes)
-        self.cancellations = Cancellations(KEPT * workers.cancel_s)
-        self._beat_s = workers.lease_s / 12
-        self._partitions = tuning.membership.quota_partitions if hosted is None else hosted.slots
+        self.cancellations = KnownCancellations(CANCELLATION_KEPT_FACTOR * workers.cancel_s)
+        self._heartbeat_s = workers.lease_s / 12
+        self._partitions = tuning.membership.quota_partitions if hosted is None else hosted.partitions
         self.member = Member(
             loop,
             self.state,
             self.label,
             lease_s=max(0.1, min(600.0, tuning.membership.lease_ratio * workers.lease_s)),
-            watch_s=blind_for_s(workers) / 4,
+            watch_s=max_staleness_s(workers) / 4,
             on_term=self._on_term,
             on_lost=self._on_lost,
             on_cancel=self.on_cancelled,
-            gate=Gate(FORMAT, [self.label, *(member.label for member in settings.members)]),
-            slots=self._partitions,
+            format_gate=FormatGate(FORMAT, [self.label, *(member.label for member in settings.members)]),
+            partitions=self._partitions,
             on_tenant=None if hosted is None else hosted.table.take,
             time_of_day=time_of_day,
         )
-        self._switchboard = Switchboard(self.member, self.send, self.on_cancelled, self.state.lower)
+        self._switchboard = FrameRouter(
+            self.member, self.send, self.on_cancelled, self.state.apply_lower_limits
+        )
         self.peers = Peers(
             loop,
             net,
             settings,
-            self._beat_s,
+            self._heartbeat_s,
             me=lambda: self.member.incarnation,
             speaks=self._speaks,
-            beat=self._beat,
+            heartbeat=self._heartbeat,
             on_frame=self._switchboard.on_frame,
             on_up=self._on_up,
             on_down=self._on_down,
@@ -131,12 +133,12 @@
             self.peers,
             [other.label for other in settings.members],
             workers,
-            self._beat_s,
+            self._heartbeat_s,
         )
         self._default_aim_s = 15 * workers.lease_s
-        self.aims = shortest_aims(deployment.objectives)
-        self._class_aims = class_aims(deployment.objectives)
-        self._sockets = Sockets(deployment.quota.fd_limit, self.counters.add)
+        self.aims = shortest_targets(deployment.objectives)
+        self._class_aims = class_targets(deployment.objectives)
+        self._sockets = SocketBudget(deployment.quota.fd_limit, self.counters.add)
         create_s = min(workers.lease_s / 3, ANSWER_PART * SUBMIT_S)
         self._create_s = create_s
         self.teams = FixedTeams(deployment.teams) if hosted is None else hosted.teams
@@ -147,19 +149,21 @@
             create_s=create_s,
             patience_s=workers.lease_s / 1.2,
         )
-        self.risk = Risk(self.aims, sorted({objective.klass for objective in deployment.objectives}))
+        self.deadline_tracker = DeadlineTracker(
+            self.aims, sorted({objective.klass for objective in deployment.objectives})
+        )
         self._began_at = self._outside_since = loop.now()
-        self.takeover = Takeover(
+        self.failover = JobFailover(
             loop,
             self.state,
             self.member,
             self.teams,
             self.send,
             self._changed,
-            self._beat_s,
+            self._heartbeat_s,
             workers.cancel_s,
         )
-        self.keeper = Keeper(
+        self.shard_balancer = ShardBalancer(
             loop,
             self.label,
             self.member,
@@ -170,21 +174,21 @@
         self._summary = Summary(
             loop,
             settings,
-            self._beat_s,
+            self._heartbeat_s,
             self.member,
             self.peers.links,
             self._state_ok,
-            self.risk,
+            self.deadline_tracker,
             self.troubles,
             self.counters,
             time_of_day,
-            lambda: self.keeper.changes,
+            lambda: self.shard_balancer.changes,
         )
         self._leaving = False
-        self._periodic = PeriodicDuties(loop, self, self._beat_s, workers.cancel_s, self._random)
+        self._periodic = PeriodicDuties(loop, self, self._heartbeat_s, workers.cancel_s, self._random)
         self.workers = None
         self._duties = []
-        self._spec_lookup = SpecLookup(loop, self.state, self._beat_s)
+        self._spec_lookup = SpecLookup(loop, self.state, self._heartbeat_s)
         self._reset()
 
     def _reset(self):
@@ -192,24 +196,24 @@
         loop, deployment = self._loop, self._deployment
         for duty in self._duties:
             duty.cancel()
-        if hasattr(self, "book"):
-            for creation in self.book.pending().values():
+        if hasattr(self, "job_store"):
+            for creation in self.job_store.pending().values():
                 creation.fail(RefusedError(Cause.NOT_A_MEMBER))  # nobody here would learn of its outcome
         workers = deployment.workers
         if self.workers is not None:
             self.workers.close()
-        self.workers = Workers(
+        self.workers = WorkerClient(
             loop,
             self._net,
             self.member,
             timeout_s=workers.lease_s / 4,
-            may_command=self.authority.may_renew,
+            may_command=self.authority.can_renew_leases,
             silent_s=SILENT_REPORTS * workers.report_s,
             sockets=self._sockets,
             decisions=self.decisions,
         )
         types = self.fleet.types if hasattr(self, "fleet") else {}
-        self.home = Home(
+        self.shard_leader = ShardLeader(
             loop,
             self.label,
             self.member,
@@ -222,10 +226,10 @@
             counters=self.counters,
             decisions=self.decisions,
         )
-        self.home.known.types = types
-        self.workers.home = self.home
+        self.shard_leader.registry.types = types
+        self.workers.shard_leader = self.shard_leader
 
-        self.shelf = Shelf(loop, self.state, self.member, self.counters)
+        self.archiver = RecordArchiver(loop, self.state, self.member, self.counters)
 
         def recorder_of(*told):
             return Recorder(
@@ -234,29 +238,29 @@
                 workers.report_s * 2,
                 *told,
                 self.member,
-                self.desk or NO_GUARDS,
+                self.tenant_admission or NO_GUARDS,
                 self.counters,
             )
 
-        parts = Parts(loop, self.state, self.member, self._time_of_day, workers.lease_s)
+        parts = UpstreamParts(loop, self.state, self.member, self._time_of_day, workers.lease_s)
 
-        def line_of(book):
+        def make_dependency_queue(job_store):
             times = {name: aims.times for name, aims in self._class_aims.items()}
-            return Line(
+            return DependencyQueue(
                 loop,
                 self.member,
                 self.state,
-                book,
+                job_store,
                 self.send,
                 times,
                 self._time_of_day,
                 workers.lease_s,
-                self._beat_s,
+                self._heartbeat_s,
                 partial(find, self.state),
                 self.counters,
             )
 
-        self.book = Book(
+        self.job_store = JobStore(
             loop,
             self.member,
             recorder_of,
@@ -265,18 +269,18 @@
             self.counters,
             self._time_of_day,
             workers.lease_s,
-            self.risk.finished,
+            self.deadline_tracker.finished,
             self.teams,
-            self.takeover.on_accepted,
-            self.shelf.add,
-            line_of,
+            self.failover.on_accepted,
+            self.archiver.add,
+            make_dependency_queue,
             parts,
         )
         self.dispatcher = Dispatcher(
             loop,
             self.label,
             self.member,
-            self.book,
+            self.job_store,
             self._class_aims,
             self._random,
             self.send,
@@ -285,13 +289,13 @@
             window_s=workers.lease_s,
             default_aim_s=self._default_aim_s,
         )
-        self.home.rooms.window_s = workers.lease_s
+        self.shard_leader.capacity_granter.window_s = workers.lease_s
         self.dispatcher.queue.time_of_day = self._time_of_day
         self.fleet = Fleet(
             loop,
             self.cloud,
             self.member,
-            self.home,
+            self.shard_leader,
             deployment,
             self._tuning.fleet,
             self.aims,
@@ -302,34 +306,34 @@
         self.fleet.types = types
         self.fleet.on_types = self.api.readiness.changed
         self.dispatcher.queue.capacity = self.fleet.capacity
-        if self.desk is not None:
-            self.desk.share(self)
-        self._spec_lookup.begin(self.home)
-        self.takeover.begin(self.book, self.shelf)
-        self._summary.begin(self.book, self.home, self.dispatcher, self.fleet)
+        if self.tenant_admission is not None:
+            self.tenant_admission.share(self)
+        self._spec_lookup.begin(self.shard_leader)
+        self.failover.begin(self.job_store, self.archiver)
+        self._summary.begin(self.job_store, self.shard_leader, self.dispatcher, self.fleet)
         self._switchboard.begin(
-            self.home,
-            self.book,
+            self.shard_leader,
+            self.job_store,
             self.dispatcher,
             self.fleet,
-            self.takeover,
+            self.failover,
             self._summary,
-            self.desk.handlers() if self.desk is not None else {},
+            self.tenant_admission.handlers() if self.tenant_admission is not None else {},
         )
-        recorder = self.book.recorder
+        recorder = self.job_store.recorder
         duties = [
             recorder.run,
             recorder.check,
-            self.shelf.run,
-            self.book.line.look,
+            self.archiver.run,
+            self.job_store.dependency_queue.poll_upstream,
             parts.collect,
             self._periodic.run,
             *self.fleet.duties(),
         ]
         if self._partitions > 1:
-            duties.append(QuotaSpreading(loop, self.member, self.book, workers.lease_s / 4).run)
-        if self.desk is not None:
-            duties += self.desk.begin(self)
+            duties.append(QuotaBalancer(loop, self.member, self.job_store, workers.lease_s / 4).run)
+        if self.tenant_admission is not None:
+            duties += self.tenant_admission.begin(self)
         self._duties = [loop.spawn(self._keep(duty), duty.__name__) for duty in duties]
 
     async def _keep(self, duty):
@@ -340,7 +344,7 @@
             except Exception:
                 log.exception("duty %s failed", duty.__name__)
                 self.counters.add("duties_failed")
-            await self._loop.sleep(self._beat_s)
+            await self._loop.sleep(self._heartbeat_s)
 
     def _stalled(self, seconds):
         """The process stood still: whoever relied on us may have gone on without us.
@@ -349,15 +353,17 @@
         used, so nothing is done on an authority that ran out meanwhile.
         """
         log.warning(
-            "stood still for %.1f s%s", seconds, "; the lease may have ended" if self.member.lapsed() else ""
+            "stood still for %.1f s%s",
+            seconds,
+            "; the lease may have ended" if self.member.lease_may_have_expired() else "",
         )
         self.counters.add("stalls")
         self.troubles.note("stood still", seconds)
-        self.peers.excuse()
-        self.home.awake_at = self._loop.now()
+        self.peers.reset_silence()
+        self.shard_leader.running_since = self._loop.now()
 
     def start(self):
-        for team in self._deployment.teams if self.desk is None else ():
+        for team in self._deployment.teams if self.tenant_admission is None else ():
             log.info(
                 "team %s: cpus %g to %g, gpus %g to %g (0: no limit)",
                 team.name,
@@ -368,7 +374,7 @@
             )
             if team.guarantee != (team.cpus, team.gpus):
                 log.warning("team %s: the guarantee is above the limit; the limit holds", team.name)
-        self._loop.stall_s, self._loop.on_stall = self._beat_s, self._stalled
+        self._loop.stall_s, self._loop.on_stall = self._heartbeat_s, self._stalled
         self._net.listen(self.settings.front, self.api.accept)
         self.peers.start()
         self._loop.spawn(self.member.run(), "member")
@@ -384,19 +390,19 @@
         lease_s = self._deployment.workers.lease_s
         log.info("ending in order")
         until = self._loop.now() + lease_s / 8
-        while self.book.recorder.backlog() and self._loop.now() < until:
-            await self._loop.sleep(self._beat_s / 8)
+        while self.job_store.recorder.backlog() and self._loop.now() < until:
+            await self._loop.sleep(self._heartbeat_s / 8)
         try:
             await self._loop.within(lease_s / 4, self._loop.spawn(self.member.leave(), "give up").done)
         except Timeout:
             log.warning("not all could be given away; the others take it when the lease ends")
-        await self._loop.sleep(self._beat_s / 4)  # what was handed over leaves the sockets
+        await self._loop.sleep(self._heartbeat_s / 4)  # what was handed over leaves the sockets
         done()
 
     # What the parts ask of one another
 
     def _changed(self):
-        self.dispatcher.changed()
+        self.dispatcher.schedule_placement()
 
     def send(self, label, frame):
         if label == self.label:
@@ -404,26 +410,29 @@
             return True
         return self.peers.send(label, frame)
 
-    def _beat(self):
+    def _heartbeat(self):
         term = self.member.term
-        return frames.Beat(
-            term.number if term else 0, self._state_ok(), self.home.deaf(), *self._periodic.used
+        return frames.Heartbeat(
+            term.number if term else 0,
+            self._state_ok(),
+            self.shard_leader.most_workers_silent(),
+            *self._periodic.used,
         )
 
-    def home_of(self, report):
+    def leader_for(self, report):
         """The home's label for a worker that asks here, or None if it would not get through.
 
         A worker sent to a controller that is silent waits there for 4 s, a third of a
         lease; without a name it asks the next one after 1 s. If its home is well but hears
         hardly any worker, the network between them is cut: then others shall be their homes.
         """
-        home = self.member.term.home(report.machine)
+        home = self.member.term.leader_of(report.machine)
         if home == self.label:
             return home
         link = self.peers.links.get(home)
         if link is None:
             return None
-        if link.deaf:
+        if link.workers_silent:
             if report.token:  # it was in touch with its home before
                 self.member.relieve(home)
             return None
@@ -438,7 +447,7 @@
         if self.member.joined:
             return True
         since_s = self._loop.now() - self._outside_since
-        return self.member.watched_at >= self._began_at and since_s > 2 * self._beat_s
+        return self.member.watched_at >= self._began_at and since_s > 2 * self._heartbeat_s
 
     def ready(self):
         """Ready unless others can do better: the state service answers them and not us, or the
@@ -449,9 +458,9 @@
         more than the few submissions that are answered 503 meanwhile. Polls need no member.
         """
         since_s = self._loop.now() - self._began_at
-        if self._leaving or self.member.gate.outdated:
+        if self._leaving or self.member.format_gate.is_outdated:
             return False
-        if not self.home.known.types and since_s > self._deployment.cloud.list_lag_s:
+        if not self.shard_leader.registry.types and since_s > self._deployment.cloud.list_lag_s:
             return False
         return self._state_ok() or not self._others_do_better()
 
@@ -466,13 +475,19 @@
             return any(link.state_ok for link in self.peers.links.values())
         return self.state.ok_at >= self._began_at
 
-    def impossible(self, spec):
+    def infeasibility_of(self, spec):
         """Why no machine can ever run the job, or None."""
-        return why_never(spec, self.teams, self.home.known.types, self.state.limits.value_bytes)
+        return infeasibility(
+            spec, self.teams, self.shard_leader.registry.types, self.state.limits.value_bytes
+        )
 
-    def own(self, spec):
+    def visibility_check(self, spec):
         """Whether whoever submits the job may know of another: a tenant knows of its own alone."""
-        return (lambda _job: True) if self.desk is None else self.desk.neighbours(spec.id)
+        return (
+            (lambda _job: True)
+            if self.tenant_admission is None
+            else self.tenant_admission.neighbours(spec.id)
+        )
 
     @property
     def leaving(self):
@@ -480,7 +495,7 @@
         return self._leaving
 
     @property
-    def most_creating(self):
+    def max_creations(self):
         """Creations that can be written while their users wait; more are turned away at once."""
         if self._leaving:
             return -1
@@ -491,48 +506,49 @@
 
         A final record that became known here while it was read is newer than what the read found.
         """
-        record = await self.reader.read(job_id)
-        return self.book.finals.get(job_id) or record
+        record = await self.record_reader.read(job_id)
+        return self.job_store.final_records.get(job_id) or record
 
-    def cancelled(self, jobs):
+    def announce_cancelled(self, jobs):
         """Jobs that a user is about to be told to be cancelled: every home that can be reached has word of
-        it first, and those that can't will not hear from us before they have (membership/touch.py)."""
+        it first, and those that can't will not hear from us before they have
+        (membership/cancellation_freshness.py)."""
         if not self.member.joined:
             # Nobody counts on hearing from us, so somebody's tasks might run on without our telling.
-            raise Unavailable("no member: what is told here would not be known")
-        if len(self.cancellations) >= CANCELLED_MOST and not all(map(self.cancellations.knows, jobs)):
-            raise Unavailable("more old cancellations are asked for than can be passed on")
+            raise UnavailableError("no member: what is told here would not be known")
+        if len(self.cancellations) >= CANCELLED_MOST and not all(map(self.cancellations.contains, jobs)):
+            raise UnavailableError("more old cancellations are asked for than can be passed on")
         self._learn_cancelled(jobs)
-        self.home.commanding.cancel(jobs)
+        self.shard_leader.task_commands.cancel(jobs)
 
     def on_cancelled(self, jobs):
         """Jobs cancelled through another controller, by its word or by the record."""
         jobs = [job for job in jobs if JOB_ID.match(job)]
         self._learn_cancelled(jobs)
-        self.home.commanding.cancel(jobs)
+        self.shard_leader.task_commands.cancel(jobs)
         for job in jobs:
-            self.book.cancelled(job)
-        self.book.line.on_cancelled(jobs)
+            self.job_store.cancelled(job)
+        self.job_store.dependency_queue.on_cancelled(jobs)
 
     def _learn_cancelled(self, jobs):
-        fresh = self.cancellations.learn(jobs, self._loop.now())
+        fresh = self.cancellations.add_new(jobs, self._loop.now())
         for label in list(self.peers.links) if fresh else ():
             self._tell_cancelled(label, fresh)
 
     def _tell_cancelled(self, label, jobs):
         for at in range(0, len(jobs), NEWS_MOST):
-            self.send(label, frames.CancelNews(jobs[at : at + NEWS_MOST]))
+            self.send(label, frames.JobsCancelled(jobs[at : at + NEWS_MOST]))
 
     def summary(self):
-        return self._summary.whole()
+        return self._summary.merged()
 
     def summary_part(self):
         """This controller's part of the summary, for the others."""
-        return self._summary.part()
+        return self._summary.local_part()
 
-    def look_for_trouble(self):
+    def check_connectivity(self):
         """Notes what this controller is out of touch with."""
-        self._summary.look_for_trouble(self.member.lapsed())
+        self._summary.check_connectivity(self.member.lease_may_have_expired())
 
     def shares(self):
         return self._summary.shares()
@@ -548,29 +564,29 @@
 
     def _on_term(self, old, new):
         for label in list(self.peers.links):
-            self._switchboard.tell_term(label)
+            self._switchboard.send_term(label)
         if old is None:
             self.api.readiness.changed()
             # Who is not in the term may live on, and have been home to what is held now until shortly before
             # the last end here; so may one that is relieved.
             all_here = all(other.label in new.members for other in self.settings.members)
-            self.home.begin(self.member.replaced and all_here and not new.relieved)
+            self.shard_leader.begin(self.member.replaced and all_here and not new.relieved)
             self.peers.reset()
         else:
             for label in new.members:
                 if label != self.label and old.incarnation(label) not in (None, new.incarnation(label)):
                     self.troubles.note(f"{label} ended and was back")
-            for label, told in self.home.on_term(old, new).items():
+            for label, told in self.shard_leader.on_term(old, new).items():
                 for frame in told:
                     self.send(label, frame)
-        self.book.quota.on_term(old, new)
-        if self.desk is not None:
-            self.desk.on_term()
+        self.job_store.quota.on_term(old, new)
+        if self.tenant_admission is not None:
+            self.tenant_admission.on_term()
         self.dispatcher.on_term(old, new)
-        self.book.reconciliation.on_term(old, new)
-        self.dispatcher.tell_again()
-        self.takeover.on_term(old, new)
-        self.keeper.on_term(old, new)
+        self.job_store.reconciliation.on_term(old, new)
+        self.dispatcher.rebroadcast_demand()
+        self.failover.on_term(old, new)
+        self.shard_balancer.on_term(old, new)
 
     # Links and frames
 
@@ -578,21 +594,21 @@
         self._tell_cancelled(label, self.cancellations.all())
         if not self.member.joined or label not in self.peers.links:
             return
-        self._switchboard.tell_term(label)
-        self.book.reconciliation.ask(label)
-        self.dispatcher.tell_again()
-        self.book.line.look_again()
-        if self.state.lowered and self.member.gate.open:
-            self.send(label, frames.StateLowered(True))
+        self._switchboard.send_term(label)
+        self.job_store.reconciliation.ask(label)
+        self.dispatcher.rebroadcast_demand()
+        self.job_store.dependency_queue.recheck_upstream()
+        if self.state.lowered and self.member.format_gate.is_open:
+            self.send(label, frames.StateLimitsLowered(True))
 
     def _on_down(self, label):
-        self.dispatcher.home_down(label)
-        self.home.rooms.peer_down(label)
+        self.dispatcher.leader_down(label)
+        self.shard_leader.capacity_granter.forget_controller(label)
 
     # Limits of the state service
 
     def _on_lowered(self):
         """The service refused what it took before: the others need not find out one by one."""
         self.troubles.note("the state service's limits are lower")
-        for label in list(self.peers.links) if self.member.gate.open else ():
-            self.send(label, frames.StateLowered(True))
+        for label in list(self.peers.links) if self.member.format_gate.is_open else ():
+            self.send(label, frames.StateLimitsLowered(True))
--- a/roadhead/periodic_duties.py
+++ b/roadhead/periodic_duties.py
@@ -2,25 +2,26 @@
 
 import logging
 
-from roadhead.membership.touch import KEPT, SILENT_BEATS
-from roadhead.state.client import Unavailable, Unsure
+from roadhead.membership.cancellation_freshness import CANCELLATION_KEPT_FACTOR, SILENT_HEARTBEATS
+from roadhead.state.client import UnavailableError, UnknownOutcomeError
 from roadhead.wire import frames
 
 log = logging.getLogger("roadhead.node")
 
-IN_FORCE_BEATS = SILENT_BEATS + 1.5  # for so long a lapsed member goes by a term that others said is in force
+# for so long a lapsed member goes by a term that others said is in force
+IN_FORCE_BEATS = SILENT_HEARTBEATS + 1.5
 MARKS_MOST = 20  # of cancellations, that nobody dropped, dropped at a time
 SAMPLE_MOST = 3  # workers asked whether they are reached again
 
 
 class PeriodicDuties:
-    """`node`: the controller's Node; `beat_s`: between two heartbeats, in seconds; `random`: a random.Random;
-    `cancel_s`: of the settings."""
+    """`node`: the controller's Node; `heartbeat_s`: between two heartbeats, in seconds; `random`: a
+    random.Random; `cancel_s`: of the settings."""
 
-    def __init__(self, loop, node, beat_s, cancel_s, random):
+    def __init__(self, loop, node, heartbeat_s, cancel_s, random):
         self._loop = loop
         self._node = node
-        self._beat_s = beat_s
+        self._heartbeat_s = heartbeat_s
         self._cancel_s = cancel_s
         self._random = random
         self._judging = False
@@ -39,21 +40,21 @@
         node = self._node
         beats = 0
         while True:
-            await self._loop.sleep(self._beat_s)
-            node.look_for_trouble()
+            await self._loop.sleep(self._heartbeat_s)
+            node.check_connectivity()
             node.cancellations.prune(self._loop.now())
             if not node.member.joined:
                 continue
             self._look_after_machines()
             self._share_state()
-            node.dispatcher.changed()
-            node.takeover.tell()
-            node.keeper.tick(node.home)
-            node.book.line.tick()
-            node.member.raise_gate()
+            node.dispatcher.schedule_placement()
+            node.failover.notify_quota_leaders()
+            node.shard_balancer.tick(node.shard_leader)
+            node.job_store.dependency_queue.refresh_priorities()
+            node.member.advance_format_gate()
             beats += 1
-            if node.desk is not None:
-                node.desk.tick(beats)
+            if node.tenant_admission is not None:
+                node.tenant_admission.tick(beats)
             for every, duty in self._rarer:
                 if beats % every == 0:
                     duty()
@@ -63,37 +64,40 @@
     def _look_after_machines(self):
         """Judges leases, and gives machines back that nobody uses."""
         node = self._node
-        node.authority.may_renew()  # hearing counts only as long as it does not break off
-        sure_at = node.authority.sure_at()
+        node.authority.can_renew_leases()  # hearing counts only as long as it does not break off
+        term_confirmed_at = node.authority.term_confirmed_at()
         self._hear_terms()
-        unused = node.home.tick(sure_at)
-        if node.home.undecided and not self._judging:
+        unused = node.shard_leader.tick(term_confirmed_at)
+        if node.shard_leader.has_undecided_leases and not self._judging:
             self._judging = True
             self._loop.spawn(self._judge(), "judge leases")
         # Others may have been given these machines, and have work there, without our knowing.
-        if not node.member.lapsed() or self._loop.now() - sure_at < IN_FORCE_BEATS * self._beat_s:
+        if (
+            not node.member.lease_may_have_expired()
+            or self._loop.now() - term_confirmed_at < IN_FORCE_BEATS * self._heartbeat_s
+        ):
             node.fleet.release([machine.id for machine in unused])
             node.fleet.return_idle()
 
     async def _judge(self):
         """A worker's lease has run out since the term was last seen to be in force: is it still?"""
         node = self._node
-        home = node.home
+        home = node.shard_leader
         try:
-            await node.member.confirm()
-        except (Unavailable, Unsure) as error:
+            await node.member.confirm_term()
+        except (UnavailableError, UnknownOutcomeError) as error:
             log.debug("term in force: %r", error)
-        if home is node.home and node.member.joined:
-            home.judge_leases(node.authority.sure_at())
+        if home is node.shard_leader and node.member.joined:
+            home.judge_leases(node.authority.term_confirmed_at())
         self._judging = False
 
     def _hear_terms(self):
         """Relieved controllers that say that they serve a term by which they are."""
         node = self._node
-        for label in node.home.reconciliation.may_not_know():
+        for label in node.shard_leader.reconciliation.unaware_controllers():
             link = node.peers.links.get(label)
             if link is not None and link.incarnation == node.member.term.incarnation(label):
-                node.home.reconciliation.hear_term(label, link.term)
+                node.shard_leader.reconciliation.on_peer_term(label, link.term)
 
     def _ask_workers_again(self):
         if self._node.label in self._node.member.term.relieved:
@@ -114,7 +118,7 @@
         node = self._node
         self.used = node.state.requests.used(), node.state.writes.used()
         term, links = node.member.term, node.peers.links
-        node.state.share(
+        node.state.divide_limits(
             [
                 links[label].used if label in links else (None if label in term.members else (0.0, 0.0))
                 for label in (member.label for member in node.settings.members)
@@ -122,22 +126,22 @@
         )
 
     def _drop_stale_marks(self):
-        stale = self._node.member.stale_marks(KEPT * self._cancel_s)
+        stale = self._node.member.stale_cancellation_marks(CANCELLATION_KEPT_FACTOR * self._cancel_s)
         for mark in stale[:MARKS_MOST]:
-            self._node.book.recorder.drop(mark)
+            self._node.job_store.recorder.schedule_delete(mark)
 
     def _scan_as_quota_leader(self):
         """Word of a job accepted for the leader may have been lost."""
         node = self._node
-        if node.book.quota.has_limits and node.label in node.member.term.wardens:
-            node.takeover.scan()
+        if node.job_store.quota.has_limits and node.label in node.member.term.quota_leaders:
+            node.failover.scan()
 
     # News
 
     def _tell_demand(self):
         node = self._node
         node.dispatcher.refresh()
-        self._tell_members(frames.HomeNews(node.home.news()))
+        self._tell_members(frames.MachineCounts(node.shard_leader.machine_counts()))
 
     def _tell_summary(self):
         self._tell_members(self._node.summary_part())
@@ -152,10 +156,10 @@
         log.info(
             "jobs=%d machines=%d clean=%s cpus=%.0f running=%.0f preparing=%.0f parked=%.0f "
             "granted=%.0f waiting=%d %s",
-            len(node.book.jobs),
-            len(node.home.machines),
-            node.home.reconciliation.clean(),
-            *node.home.usage(),
-            sum(len(job.free) for job in node.book.jobs.values()),
+            len(node.job_store.jobs),
+            len(node.shard_leader.machines),
+            node.shard_leader.reconciliation.is_reconciled(),
+            *node.shard_leader.usage(),
+            sum(len(job.unstarted) for job in node.job_store.jobs.values()),
             node.counters.line(),
         )
--- a/roadhead/pipelines/ancestry.py
+++ b/roadhead/pipelines/ancestry.py
@@ -8,7 +8,7 @@
 
 from itertools import islice
 
-from roadhead.state.client import Unavailable, Unsure
+from roadhead.state.client import UnavailableError, UnknownOutcomeError
 
 CANCELS = "c/n"
 WAITS_SHOWN = 20
@@ -60,7 +60,7 @@
                     unknown.append(name)
             for name, found in (await self._read(unknown, stamp)).items():
                 if found is None:
-                    raise Unavailable(f"no record of {name}")
+                    raise UnavailableError(f"no record of {name}")
                 if found["s"] == "cancelled":
                     return self._closing(record), []
             for name in todo:
@@ -68,7 +68,7 @@
                     continue
                 fact = self._fact(name, stamp)
                 if fact is None:
-                    raise Unavailable("more jobs before it than are remembered")
+                    raise UnavailableError("more jobs before it than are remembered")
                 for other in fact[1]:
                     if other not in seen:
                         seen.add(other)
@@ -115,7 +115,7 @@
         """The error, if it could not be read."""
         try:
             found[name] = (await self._find(name))[0]
-        except (Unavailable, Unsure) as error:
+        except (UnavailableError, UnknownOutcomeError) as error:
             return error
         return None
 
--- a/roadhead/pipelines/waits.py
+++ b/roadhead/pipelines/dependency_index.py
@@ -6,12 +6,12 @@
 DONE, CANCELLED = "done", "cancelled"
 
 
-class Waits:
-    """`needed` maps each upstream id that is not known to be over to the jobs that wait for it."""
+class DependencyIndex:
+    """`dependents` maps each upstream id that is not known to be over to the jobs that wait for it."""
 
     def __init__(self):
         self.jobs = {}  # id -> Job
-        self.needed = {}  # upstream id -> {job: True}
+        self.dependents = {}  # upstream id -> {job: True}
         self.by_class = {}  # class -> how many of it wait
         self.by_team = {}  # team -> how many of its
         self._left = {}  # job -> upstream ids not known to be done
@@ -30,7 +30,7 @@
             return DONE
         self.jobs[job.id], self._left[job] = job, left
         for name in left:
-            self.needed.setdefault(name, {})[job] = True
+            self.dependents.setdefault(name, {})[job] = True
         self._count(job, 1)
         return None
 
@@ -45,21 +45,21 @@
         if self.jobs.pop(job.id, None) is None:
             return False
         for name in self._left.pop(job):
-            waiting = self.needed[name]
+            waiting = self.dependents[name]
             del waiting[job]
             if not waiting:
-                del self.needed[name]
+                del self.dependents[name]
         self._count(job, -1)
         return True
 
-    def left(self, job):
+    def remaining(self, job):
         """Upstream ids that the job still waits for."""
         return list(self._left.get(job, ()))
 
-    def over(self, name, state):
+    def on_job_ended(self, name, state):
         """A job is durably over: ([jobs that may start], [jobs that are cancelled with it]). Those that
         wait for the cancelled ones are for the caller to name in turn."""
-        waiting = self.needed.get(name)
+        waiting = self.dependents.get(name)
         if waiting is None:
             return [], []
         if state == CANCELLED:
@@ -67,7 +67,7 @@
             for job in jobs:
                 self.remove(job)
             return [], jobs
-        del self.needed[name]
+        del self.dependents[name]
         free = []
         for job in waiting:
             left = self._left[job]
--- a/roadhead/pipelines/wishes.py
+++ b/roadhead/pipelines/inherited_priorities.py
@@ -9,7 +9,7 @@
 NONE = (99, math.inf, math.inf)  # nobody wants anything: any urgency comes before
 
 
-class Wishes:
+class InheritedPriorities:
     """Wishes on jobs known here, by who wants what. Times are times of day; `kept_s`: for which one
     counts that is not said again."""
 
--- a/roadhead/pipelines/parts.py
+++ b/roadhead/pipelines/upstream_parts.py
@@ -9,8 +9,8 @@
 import secrets
 
 from roadhead.jobs.job import KEY
-from roadhead.shares.hashing import pick
-from roadhead.state.client import Conflict, TooLarge, Unavailable, Unsure
+from roadhead.shards.hashing import rendezvous_choice
+from roadhead.state.client import ConflictError, RequestTooLargeError, UnavailableError, UnknownOutcomeError
 
 log = logging.getLogger("roadhead.parts")
 
@@ -42,12 +42,12 @@
     nonce, count = record["up"]
     items, _revision = await state.list(f"{PARTS}{job_id}/{nonce}/")
     if len(items) != count:
-        raise Unavailable(f"{len(items)} of {count} parts of {job_id}")
+        raise UnavailableError(f"{len(items)} of {count} parts of {job_id}")
     names = [name for _key, value, _stamp in items for name in value["ids"]]
     return {**record, "spec": {**record["spec"], "upstream": names}}
 
 
-class Parts:
+class UpstreamParts:
     """Writes parts, and collects those left over."""
 
     def __init__(self, loop, state, member, time_of_day, lease_s):
@@ -79,9 +79,10 @@
                 stamp = await self._state.multi([], writes)
                 first = first or stamp
                 at += len(writes)
-            except TooLarge:
+            except RequestTooLargeError:
                 return None
-            except (Unavailable, Unsure) as error:  # the same values under the same keys: again
+            # the same values under the same keys: again
+            except (UnavailableError, UnknownOutcomeError) as error:
                 log.debug("parts of %s: %r", job_id, error)
                 await self._loop.sleep(self._lease_s / 48)
             if self._loop.now() > until:
@@ -93,11 +94,11 @@
         while True:
             await self._loop.sleep(2 * self._lease_s)
             member = self._member
-            if not member.joined or pick(member.term.members, "parts") != member.label:
+            if not member.joined or rendezvous_choice(member.term.members, "parts") != member.label:
                 continue
             try:
                 await self._collect_some()
-            except (Unavailable, Unsure, Conflict) as error:
+            except (UnavailableError, UnknownOutcomeError, ConflictError) as error:
                 log.debug("collecting parts: %r", error)
 
     async def _collect_some(self):
--- a/roadhead/scale/hollow.py
+++ b/roadhead/scale/hollow.py
@@ -1,9 +1,9 @@
 """Hollow workers, many per process: they speak the whole worker protocol but simulate tasks by timers."""
 
 from roadhead.local.fault_windows import FaultWindow
-from roadhead.local.processes import Ground
-from roadhead.local.server import Server
-from roadhead.local.worker import Worker
+from roadhead.local.processes import ProcessWorld
+from roadhead.local.server import EmulatedServer
+from roadhead.local.worker import EmulatedWorker
 from roadhead.scale.layout import Layout
 from roadhead.scale.traffic import CountedNet, Traffic
 from roadhead.scale.workload import Workload
@@ -33,7 +33,7 @@
             self._file.flush()
 
 
-class HollowGround(Ground):
+class HollowWorld(ProcessWorld):
     """The environment that the hollow workers of one process share: loop, network, workload, event log."""
 
     def __init__(self, directory, number):
@@ -66,7 +66,7 @@
         self.log.add("=", task, "")
 
 
-class HollowWorker(Worker):
+class HollowWorker(EmulatedWorker):
     """A worker that sleeps until its lease ends instead of polling it, and can be ended, cut or restarted."""
 
     def __init__(self, world, kind, spec):
@@ -104,7 +104,7 @@
         self.changed()
 
 
-class HostControl(Server):
+class HostControl(EmulatedServer):
     """Carries out the cloud emulator's commands on the workers of this process and reports their figures."""
 
     def __init__(self, world, number):
@@ -160,6 +160,6 @@
 
 def main(directory, number):
     """Runs a process of hollow workers. `number`: its index among those processes."""
-    world = HollowGround(directory, int(number))
+    world = HollowWorld(directory, int(number))
     HostControl(world, int(number))
     world.loop.run()
--- a/roadhead/scale/load.py
+++ b/roadhead/scale/load.py
@@ -11,12 +11,12 @@
 import cbor2
 import msgspec
 
-from roadhead.local.histories import FINAL, Answer, History, Question
+from roadhead.local.histories import FINAL, Answer, AnswerHistory, RequestKind
 from roadhead.runtime.loop import Loop, Timeout
 from roadhead.scale.layout import Layout
 from roadhead.scale.traffic import CountedNet, Traffic
 from roadhead.scale.workload import Workload
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 RESULT_FILE = "load.json"
 SUCCESS_STATUSES = (200, 201)
@@ -66,7 +66,7 @@
         self._fronts = layout.document["fronts"]
         self._clients = [Client(loop, net, front, MAX_IDLE_CONNECTIONS) for front in self._fronts]
         self._random = random.Random(layout.plan.seed)
-        self._history = History()
+        self._history = AnswerHistory()
         self._open_jobs = 0
         self._arrivals = Workload(layout.plan).arrivals
         self._answers = Counter()
@@ -101,7 +101,7 @@
         deadline = outcome.due_at + RETRY_FOR_S
         while self._loop.now() < deadline:
             outcome.tries += 1
-            status, state = await self._request(Question.SUBMIT, outcome.job_id, job, SUBMIT_TIMEOUT_S)
+            status, state = await self._request(RequestKind.SUBMIT, outcome.job_id, job, SUBMIT_TIMEOUT_S)
             if status in SUCCESS_STATUSES:
                 outcome.accepted_at = self._loop.now()
                 self._record_state(outcome, state)
@@ -115,7 +115,7 @@
     async def _wait(self, outcome):
         while outcome.state not in FINAL:
             await self._loop.sleep(self._random.uniform(*POLL_PAUSE_S))
-            status, state = await self._request(Question.POLL, outcome.job_id, None, POLL_TIMEOUT_S)
+            status, state = await self._request(RequestKind.POLL, outcome.job_id, None, POLL_TIMEOUT_S)
             if status in SUCCESS_STATUSES:
                 self._record_state(outcome, state)
 
@@ -124,7 +124,7 @@
         await self._loop.sleep(max(0.0, due_at - self._loop.now()))
         outcome.cancel_asked_at = self._loop.now()
         while outcome.state not in FINAL and self._loop.now() < outcome.cancel_asked_at + RETRY_FOR_S:
-            status, state = await self._request(Question.CANCEL, outcome.job_id, None, SUBMIT_TIMEOUT_S)
+            status, state = await self._request(RequestKind.CANCEL, outcome.job_id, None, SUBMIT_TIMEOUT_S)
             if status in SUCCESS_STATUSES:
                 self._record_state(outcome, state)
                 return
@@ -152,15 +152,15 @@
 
     async def _send(self, client, question, job_id, body, timeout_s):
         path = {
-            Question.SUBMIT: "/v1/jobs",
-            Question.POLL: f"/v1/jobs/{job_id}",
-            Question.CANCEL: f"/v1/jobs/{job_id}/cancel",
+            RequestKind.SUBMIT: "/v1/jobs",
+            RequestKind.POLL: f"/v1/jobs/{job_id}",
+            RequestKind.CANCEL: f"/v1/jobs/{job_id}/cancel",
         }[question]
-        method = "GET" if question is Question.POLL else "POST"
+        method = "GET" if question is RequestKind.POLL else "POST"
         data = cbor2.dumps(body) if body is not None else b""
         try:
             status, data, _headers = await client.request(method, path, data, timeout_s)
-        except (NoAnswer, Timeout):
+        except (NoResponseError, Timeout):
             return 0, None
         answer = cbor2.loads(data) if data else None
         return status, answer.get("status") if isinstance(answer, dict) else None
--- a/roadhead/scale/plan.py
+++ b/roadhead/scale/plan.py
@@ -31,11 +31,11 @@
         self.faults = faults
 
 
-class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class PlanTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Base of the tables of a plan file. Unknown keys are errors."""
 
 
-class ClusterSize(Table, frozen=True):
+class ClusterSize(PlanTable, frozen=True):
     """Numbers of controllers, workers and zones. `hosts`: processes over which the workers are spread."""
 
     controllers: int = 3
@@ -45,7 +45,7 @@
     cpus_per_worker: float = 8.0
 
 
-class Timing(Table, frozen=True):
+class Timing(PlanTable, frozen=True):
     """Times of the platform in seconds. `fetch_s`: how long a worker takes to fetch an image."""
 
     report_s: float = 2.5
@@ -56,7 +56,7 @@
     fetch_s: float = 0.2
 
 
-class StateLimits(Table, frozen=True):
+class StateLimits(PlanTable, frozen=True):
     """Limits of the emulated state service, under their names in the protocol."""
 
     rps: float = 200.0
@@ -65,7 +65,7 @@
     txn_ops: int = 16
 
 
-class Teams(Table, frozen=True):
+class Teams(PlanTable, frozen=True):
     """`count` teams, each limited to `cpus_max` CPUs (0: no limit).
 
     Their quotas are divided into `partitions` among the controllers.
@@ -76,7 +76,7 @@
     partitions: int = 1
 
 
-class JobClass(Table, frozen=True):
+class JobClass(PlanTable, frozen=True):
     """Jobs of one kind, arriving as a Poisson process with a constant rate."""
 
     name: str
@@ -88,7 +88,7 @@
     cancelled: float = 0.0  # share of the jobs that their users cancel while they run
 
 
-class Event(Table, frozen=True):
+class Event(PlanTable, frozen=True):
     """A failure `at_s` seconds after the load begins. `kind` decides which of the other fields it uses."""
 
     at_s: float
@@ -98,7 +98,7 @@
     zone: int = 0
 
 
-class Plan(Table, frozen=True):
+class Plan(PlanTable, frozen=True):
     """A scale run.
 
     The load begins `settle_s` after all controllers are ready and lasts `warm_s` + `measured_s`; then users
--- a/roadhead/scale/services.py
+++ b/roadhead/scale/services.py
@@ -4,14 +4,14 @@
 
 import cbor2
 
-from roadhead.local.cloud_api import CloudApi
-from roadhead.local.processes import Ground
-from roadhead.local.state_service import StateService
+from roadhead.local.cloud_api import CloudEmulator
+from roadhead.local.processes import ProcessWorld
+from roadhead.local.state_service import StateServiceEmulator
 from roadhead.runtime.net import Net
 from roadhead.scale.hollow import MACHINE_TYPE
 from roadhead.scale.layout import Layout, worker_address, zone_name
 from roadhead.scale.traffic import CountedNet, Traffic
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 COMMAND_TIMEOUT_S = 10.0  # timeout of a command to a process of workers
 RAM_GB_PER_CPU = 4.0
@@ -19,7 +19,7 @@
 TOO_MANY_REQUESTS = 429  # HTTP status of requests above a rate limit
 
 
-class ScaleGround(Ground):
+class ScaleWorld(ProcessWorld):
     """The environment of an emulator's process: its Layout, loop and network."""
 
     def __init__(self, directory):
@@ -46,7 +46,7 @@
     return "lease" if path == "/leases" else f"{method.lower()} lease"
 
 
-class ScaleState(StateService):
+class ScaleState(StateServiceEmulator):
     """A state service that counts requests by kind. `/scale/outage` with `on` starts or ends an outage."""
 
     def __init__(self, world):
@@ -90,7 +90,7 @@
         self.address = worker_address(cloud.network, number)
         self.born = cloud.sim.time
         self.boot_s = kind["startupS"] * cloud.sim.random.uniform(0.6, 1.5)
-        self.tasks = {}  # read by CloudApi; empty, as only the worker's process knows its tasks
+        self.tasks = {}  # read by CloudEmulator; empty, as only the worker's process knows its tasks
         self.failed = False
         self._cloud = cloud
 
@@ -115,7 +115,7 @@
         self._cloud.ended.append(self)
 
 
-class ScaleCloud(CloudApi):
+class ScaleCloud(CloudEmulator):
     """A cloud that rents hollow workers. All workers of the plan are running when the controllers start."""
 
     def __init__(self, world):
@@ -215,12 +215,12 @@
             try:
                 await client.request("POST", path, body, COMMAND_TIMEOUT_S)
                 return
-            except NoAnswer:
+            except NoResponseError:
                 await self.loop.sleep(0.1)
 
 
 def main(part, directory):
     """Runs the process of the state service or of the cloud."""
-    world = ScaleGround(directory)
+    world = ScaleWorld(directory)
     (ScaleState if part == "state" else ScaleCloud)(world)
     world.loop.run()
--- a/roadhead/shares/balance.py
+++ b/roadhead/shards/balance.py
@@ -3,7 +3,7 @@
 STEP = 1 / 8  # of the machines that a home has, given away in one step at the most
 
 
-def step(shares, label, takers, machines, most=STEP):
+def plan_moves(shard_map, label, takers, machines, most=STEP):
     """{share: label} that the home `label` gives away now; empty if the map is as even as it can be.
 
     `takers`: other homes that may be given any; `machines`: {share: machines there} of this home's.
@@ -13,22 +13,22 @@
     Machines spread over shares by hash, so any shares are as good as others. No more machines move
     at once than `most` of those here, but one share always may, so that every step gets on.
     """
-    counts = shares.counts([label, *takers])
+    counts = shard_map.counts([label, *takers])
     bound = most * sum(machines.values())
     least, over = divmod(sum(counts.values()), len(counts))
     equal = least + (over > 0)
     moves = {}
     moved = 0
-    for share in shares.of(label):
+    for shard in shard_map.of(label):
         if not takers:
             break
         fewest = min(takers, key=lambda taker: (counts[taker], taker))
         if counts[label] <= equal and (counts[fewest] >= least or counts[label] < max(counts.values())):
             break  # the rest is for others to give
-        here = machines.get(share, 0)
+        here = machines.get(shard, 0)
         if moved and moved + here > bound:
             break
-        moves[share] = fewest
+        moves[shard] = fewest
         moved += here
         counts[label] -= 1
         counts[fewest] += 1
--- a/roadhead/shares/keeper.py
+++ b/roadhead/shards/balancer.py
@@ -2,14 +2,14 @@
 
 import logging
 
-from roadhead.shares.balance import step
+from roadhead.shards.balance import plan_moves
 
 log = logging.getLogger("roadhead.shares")
 
 KEPT_MOST = 20  # changes remembered for whoever asks
 
 
-class Keeper:
+class ShardBalancer:
     """`settle_s`: who joined is given nothing before. `links()`: {label: its link}."""
 
     def __init__(self, loop, label, member, settle_s, links, counters):
@@ -36,23 +36,25 @@
         if old is None:
             return
         moved = {}
-        for share, (giver, taker) in enumerate(zip(old.shares.homes, new.shares.homes, strict=True)):
+        for shard, (giver, taker) in enumerate(
+            zip(old.shard_map.leaders, new.shard_map.leaders, strict=True)
+        ):
             if giver != taker:
-                moved.setdefault((giver, taker), []).append(share)
-        for (giver, taker), shares in moved.items():
-            log.info("term %d: %d shares from %s to %s", new.number, len(shares), giver, taker)
-            self._count("shares_moved", len(shares))
-            planned = new.incarnation(giver) is not None and giver in new.homes
-            self.changes.append((now, new.number, len(shares), giver, taker, planned))
+                moved.setdefault((giver, taker), []).append(shard)
+        for (giver, taker), shards in moved.items():
+            log.info("term %d: %d shares from %s to %s", new.number, len(shards), giver, taker)
+            self._count("shares_moved", len(shards))
+            planned = new.incarnation(giver) is not None and giver in new.leaders
+            self.changes.append((now, new.number, len(shards), giver, taker, planned))
         del self.changes[:-KEPT_MOST]
 
     def tick(self, home):
         """With each beat."""
         member, term = self._member, self._member.term
-        if member.lapsed():
+        if member.lease_may_have_expired():
             return
-        if not self._moving and home.reconciliation.settled():
-            moves = step(term.shares, self._label, self._takers(term), home.by_share())
+        if not self._moving and home.reconciliation.is_idle():
+            moves = plan_moves(term.shard_map, self._label, self._takers(term), home.machines_by_shard())
             if moves:
                 self._moving = True
                 self._loop.spawn(self._move(moves), "move shares")
@@ -68,10 +70,10 @@
         now, links = self._loop.now(), self._links()
         return [
             label
-            for label in sorted(term.homes)
+            for label in sorted(term.leaders)
             if label != self._label
             and label in links
-            and not links[label].deaf
+            and not links[label].workers_silent
             and links[label].state_ok
             and now - self._since[label][1] >= self._settle_s
         ]
--- a/roadhead/shares/hashing.py
+++ b/roadhead/shards/hashing.py
@@ -3,7 +3,7 @@
 from hashlib import blake2b
 
 
-def pick(labels, name):
+def rendezvous_choice(labels, name):
     """Rendezvous hash: the label that weighs most for `name`."""
     data = name.encode()
     return max(
--- a/roadhead/state/client.py
+++ b/roadhead/state/client.py
@@ -1,15 +1,15 @@
 """Requests to the state service, within its rates.
 
-`Unavailable`: not executed. `Unsure`: no answer, so it may have been executed or may
-still be. `Conflict`: a condition failed. Nothing here retries; callers know what is safe.
+`UnavailableError`: not executed. `UnknownOutcomeError`: no answer, so it may have been executed or may
+still be. `ConflictError`: a condition failed. Nothing here retries; callers know what is safe.
 """
 
 import logging
 
 from roadhead.runtime.rate import Bucket
-from roadhead.state.latency import AnswerTimes
+from roadhead.state.latency import ResponseTimeEstimator
 from roadhead.wire import messages
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 log = logging.getLogger("roadhead.state")
 
@@ -21,29 +21,29 @@
 IDLE_PART = 0.2  # of its equal part is left to a controller that uses less
 
 
-class Unavailable(Exception):
+class UnavailableError(Exception):
     pass
 
 
-class TooLarge(Unavailable):
+class RequestTooLargeError(UnavailableError):
     """A value or a transaction is beyond the limits: the same again would be refused again."""
 
 
-class Unsure(Exception):
+class UnknownOutcomeError(Exception):
     pass
 
 
-class Conflict(Exception):
+class ConflictError(Exception):
     def __init__(self, failed):
         super().__init__(f"changed meanwhile: {failed}")
         self.failed = failed
 
 
-class TooOld(Exception):
+class CompactedError(Exception):
     """The changes asked for are no longer kept."""
 
 
-class LeaseGone(Exception):
+class LeaseExpiredError(Exception):
     pass
 
 
@@ -62,7 +62,7 @@
         rps, writes = self.limits.rps / nodes, self.limits.write_rps / nodes
         self.requests = Bucket(loop, USABLE * rps, rps)
         self.writes = Bucket(loop, USABLE * writes, writes)
-        self.answers = AnswerTimes(ANSWER_MOST_S)  # of transactions
+        self.answers = ResponseTimeEstimator(ANSWER_MOST_S)  # of transactions
         self.ok_at = -1e9  # when the last request that got a proper answer was sent
         self._failing_since = None  # when the first of those was sent that failed since then
         self._failures = 0  # and how many they are
@@ -73,7 +73,7 @@
         each may write in a second is more than a transaction takes."""
         return max(1, min(int(self.limits.write_rps / self._nodes), int(self.limits.txn_ops)))
 
-    def share(self, others):
+    def divide_limits(self, others):
         """Sets this controller's part of the limits: an equal one, or what the others leave.
 
         `others` has for each other controller what it uses of (requests, writes) a second,
@@ -91,7 +91,7 @@
             if abs(rate - bucket.rate) > 0.05 * bucket.rate:
                 bucket.retune(rate)
 
-    def lower(self):
+    def apply_lower_limits(self):
         """The service has lowered its limits, as was said beforehand; there is no way back."""
         if self.limits == self._lowered:
             return
@@ -107,7 +107,7 @@
         if self._on_lowered is not None:
             self._on_lowered()
 
-    def failing_s(self):
+    def failing_for_s(self):
         """For how long the service has answered nothing here; 0 while it does.
 
         The member's duties go on asking, so that this ends soon after the trouble does.
@@ -129,24 +129,24 @@
         sent_at = self._loop.now()
         try:
             status, data, _headers = await self._http.request(method, target, body, timeout)
-        except NoAnswer as error:
+        except NoResponseError as error:
             self._failed(sent_at)
             if error.sent:
-                raise Unsure(str(error)) from None
-            raise Unavailable(str(error)) from None
+                raise UnknownOutcomeError(str(error)) from None
+            raise UnavailableError(str(error)) from None
         if status == 429:
             self.requests.empty()
             if target == "/multi":
                 self.writes.empty()
-            self.lower()
-            raise Unavailable("429")
+            self.apply_lower_limits()
+            raise UnavailableError("429")
         if status >= 500:
             self._failed(sent_at)
-            raise Unavailable(str(status))
+            raise UnavailableError(str(status))
         try:
             value = messages.decode_map(data) if data else {}
-        except messages.Invalid as error:
-            raise Unsure(str(error)) from None
+        except messages.InvalidMessageError as error:
+            raise UnknownOutcomeError(str(error)) from None
         self.ok_at = max(self.ok_at, sent_at)
         if self._failures and sent_at >= self._failing_since:
             self._failures = 0
@@ -158,7 +158,7 @@
         if status == 404:
             return None, 0
         if status != 200:
-            raise Unavailable(f"get {key}: {status}")
+            raise UnavailableError(f"get {key}: {status}")
         return answer["data"], answer["stamp"]
 
     async def page(self, prefix, after="", limit=1000):
@@ -166,7 +166,7 @@
         target = f"/store?under={prefix}&limit={limit}" + (f"&after={after}" if after else "")
         status, answer = await self._call("GET", target, timeout=6.0)
         if status != 200:
-            raise Unavailable(f"list {prefix}: {status}")
+            raise UnavailableError(f"list {prefix}: {status}")
         items = [(item["k"], item["data"], item["stamp"]) for item in answer["items"]]
         return items, bool(answer.get("hasNext") and items), answer["epoch"]
 
@@ -191,22 +191,22 @@
         if status == 200:
             return answer["epoch"]
         if status == 409:
-            raise Conflict(answer.get("failed", []))
+            raise ConflictError(answer.get("failed", []))
         if status == 400 and answer.get("error") == "no such lease":
-            raise LeaseGone
+            raise LeaseExpiredError
         log.error("transaction refused: %s %s", status, answer)
         if status == 400:
-            raise TooLarge(str(answer.get("error", "")))
-        raise Unavailable(f"multi: {status}")
+            raise RequestTooLargeError(str(answer.get("error", "")))
+        raise UnavailableError(f"multi: {status}")
 
-    async def unchanged(self, conditions):
+    async def check_conditions(self, conditions):
         """Raises Conflict, naming keys that changed, unless every (key, stamp) still holds."""
         timeout_s = min(COMPARE_MOST_S, self.answers.timeout_s)
         status, answer = await self._transact(conditions, [], timeout_s)
         if status == 409:
-            raise Conflict(answer.get("failed", []))
+            raise ConflictError(answer.get("failed", []))
         if status != 200:
-            raise Unavailable(f"multi: {status}")
+            raise UnavailableError(f"multi: {status}")
 
     async def _transact(self, conditions, writes, timeout_s):
         """(status, answer) of a transaction."""
@@ -216,34 +216,34 @@
         deadline = sent_at + timeout_s
         try:
             answered = await self._send("POST", "/multi", messages.encode(body), timeout_s)
-        except Unsure:
+        except UnknownOutcomeError:
             if self._loop.now() >= deadline:  # else the connection broke: that tells nothing of time
-                self.answers.lost()
+                self.answers.record_timeout()
             raise
-        self.answers.seen(self._loop.now() - sent_at)
+        self.answers.record_answer(self._loop.now() - sent_at)
         return answered
 
     async def lease(self, life_s):
         body = messages.encode({"lifeMs": int(life_s * 1000)})
         status, answer = await self._call("POST", "/leases", body)
         if status != 200:
-            raise Unavailable(f"lease: {status}")
+            raise UnavailableError(f"lease: {status}")
         return answer["permit"]
 
-    async def touch(self, permit):
-        """Renews a lease; raises LeaseGone."""
+    async def renew_lease(self, permit):
+        """Renews a lease; raises LeaseExpiredError."""
         status, _answer = await self._call("POST", f"/leases/{permit}/touch", timeout=1.5)
         if status == 404:
-            raise LeaseGone
+            raise LeaseExpiredError
         if status != 200:
-            raise Unavailable(f"touch: {status}")
+            raise UnavailableError(f"touch: {status}")
 
     async def changes(self, prefix, after, wait_s):
         """(events, revision): waits up to `wait_s` for changes under `prefix`."""
         target = f"/changes?under={prefix}&after={after}&waitMs={int(wait_s * 1000)}"
         status, answer = await self._call("GET", target, timeout=wait_s + 2.0)
         if status == 410:
-            raise TooOld
+            raise CompactedError
         if status != 200:
-            raise Unavailable(f"changes: {status}")
+            raise UnavailableError(f"changes: {status}")
         return answer["log"], answer["epoch"]
--- a/roadhead/state/latency.py
+++ b/roadhead/state/latency.py
@@ -14,7 +14,7 @@
 DEVIATIONS = 4
 
 
-class AnswerTimes:
+class ResponseTimeEstimator:
     """Round trips of one kind of request; waits are at most `most_s`."""
 
     def __init__(self, most_s):
@@ -24,7 +24,7 @@
         self._deviation_s = 0.0
         self._backoff = 1
 
-    def seen(self, seconds):
+    def record_answer(self, seconds):
         """An answer came that long after its request was sent."""
         self._backoff = 1
         if self._mean_s is None:
@@ -33,7 +33,7 @@
         self._deviation_s += DEVIATION_GAIN * (abs(seconds - self._mean_s) - self._deviation_s)
         self._mean_s += MEAN_GAIN * (seconds - self._mean_s)
 
-    def lost(self):
+    def record_timeout(self):
         """No answer came within `timeout_s`."""
         if self.timeout_s < self._most_s:
             self._backoff *= 2
--- a/roadhead/state/reader.py
+++ b/roadhead/state/record_reader.py
@@ -8,7 +8,7 @@
 from itertools import islice
 
 from roadhead.runtime.loop import Future, Timeout
-from roadhead.state.client import Conflict, Unavailable, Unsure
+from roadhead.state.client import ConflictError, UnavailableError, UnknownOutcomeError
 
 LANES = 2  # batches under way at once
 READS = 4  # records read side by side in a batch
@@ -21,7 +21,7 @@
 FAILING = 0.5  # of the patience: once nothing was answered for longer, one poll at a time waits
 
 
-class Reader:
+class RecordReader:
     """`whole(name, record)`: the record with what is stored apart from it; `derive(record)`: (the record as
     it counts with others that it depends on, conditions as long as which that holds)."""
 
@@ -39,7 +39,7 @@
         self._existing = {}  # names of which a record was read or made lately, in order as a set
         self._lanes = 0
 
-    def exists(self, name):
+    def note_existing(self, name):
         """A record of that name stands. Reads sent before, and answered later, may not find it."""
         self._existing.pop(name, None)
         self._existing[name] = True
@@ -60,9 +60,9 @@
 
     async def _ask(self, name):
         if len(self._waiting) >= 4 * self._most and name not in self._waiting:
-            raise Unavailable("busy")
-        if self._lanes and self._state.failing_s() > FAILING * self._patience_s:
-            raise Unavailable("no answers from the state service")
+            raise UnavailableError("busy")
+        if self._lanes and self._state.failing_for_s() > FAILING * self._patience_s:
+            raise UnavailableError("no answers from the state service")
         future = Future()
         self._waiting.setdefault(name, []).append(future)
         if self._lanes < LANES:
@@ -121,14 +121,14 @@
         for _ in range(ROUNDS):
             sent_at = self._loop.now()
             try:
-                await self._state.unchanged(
+                await self._state.check_conditions(
                     list(
                         dict.fromkeys(
                             condition for _, conditions in known.values() for condition in conditions
                         )
                     )
                 )
-            except Conflict as conflict:
+            except ConflictError as conflict:
                 failed = set(conflict.failed)
                 for name, (_, conditions) in list(known.items()):
                     if not failed.isdisjoint(key for key, _stamp in conditions):
@@ -136,8 +136,8 @@
                 if not known or not conflict.failed:
                     return
                 continue
-            except (Unavailable, Unsure) as error:
-                lost = isinstance(error, Unsure)
+            except (UnavailableError, UnknownOutcomeError) as error:
+                lost = isinstance(error, UnknownOutcomeError)
                 if lost and self._loop.now() - began_at < self._patience_s * TRY_AGAIN:
                     continue
                 for name in known:
@@ -155,12 +155,12 @@
                 record, stamp = await self._state.get(place + name)
                 conditions.append((place + name, stamp))
                 if record is not None:
-                    self.exists(name)
+                    self.note_existing(name)
                     del conditions[:-1]
                     record, more = await self._derive(self._shorten(await self._whole(name, record)))
                     conditions += more
                     break
-        except (Unavailable, Unsure) as error:
+        except (UnavailableError, UnknownOutcomeError) as error:
             self._fail(futures, error)
             return
         self._known.pop(name, None)
@@ -172,7 +172,7 @@
     def _answer(self, futures, record, sent_at):
         if self._loop.now() - sent_at > self._patience_s:
             # It lay in the socket while this process stood still: it may be out of date.
-            self._fail(futures, Unavailable("read too long ago"))
+            self._fail(futures, UnavailableError("read too long ago"))
             return
         for future in futures:
             future.set(record)
--- a/roadhead/telemetry.py
+++ b/roadhead/telemetry.py
@@ -29,7 +29,7 @@
     logging.raiseExceptions = False
 
 
-class Troubles:
+class TroubleLog:
     """What went wrong since the start, for the morning reader: a bounded number of lines.
 
     Of each kind the count, the longest and the newest few are kept.
@@ -53,7 +53,7 @@
         entry[2].append(self._time_of_day() - seconds)
         del entry[2][: -self.KEPT]
 
-    def holds(self, text, on):
+    def set_active(self, text, on):
         """Whether something holds now; noted when it ends."""
         if on:
             self._open.setdefault(text, self._now())
--- a/roadhead/tenants/admission.py
+++ b/roadhead/tenants/admission.py
@@ -25,25 +25,25 @@
     retry_after: int | None = None
 
 
-GONE = Refusal(410, "the tenant is removed")
-RESTING = Refusal(403, "the tenant is suspended")
+REMOVED_REFUSAL = Refusal(410, "the tenant is removed")
+SUSPENDED_REFUSAL = Refusal(403, "the tenant is suspended")
 TOO_FAST = "more submissions than the tenant's rate allows"
 TOO_MANY_JOBS = "as many open jobs as the tenant may have"
 TOO_MANY_TASKS = "as many waiting tasks as the tenant may have"
 TOO_MUCH_AT_ONCE = "more submissions at once than can be written in time"
-NOT_KNOWN = Refusal(503, "not able to say now", 1)
+UNKNOWN_REFUSAL = Refusal(503, "not able to say now", 1)
 
 
-def standing(tenant):
+def state_refusal(tenant):
     """Why a tenant of this state may not submit, or None."""
     if tenant.state in (REMOVING, REMOVED):
-        return GONE
+        return REMOVED_REFUSAL
     if tenant.state == SUSPENDED:
-        return RESTING
-    return None if tenant.state == ACTIVE else NOT_KNOWN
+        return SUSPENDED_REFUSAL
+    return None if tenant.state == ACTIVE else UNKNOWN_REFUSAL
 
 
-def full(limits, open_jobs, waiting_tasks, tasks):
+def limit_refusal(limits, open_jobs, waiting_tasks, tasks):
     """Why one more job with so many tasks is too much for the tenant, or None."""
     if limits.open_jobs and open_jobs >= limits.open_jobs:
         return Refusal(429, TOO_MANY_JOBS, FULL_S)
@@ -52,7 +52,7 @@
     return None
 
 
-def crowded(creating, most, within):
+def creation_refusal(creating, most, within):
     """Why a tenant with so many creations under way must wait, or None: others need the rest.
 
     Work `within` its team's guarantee may take half of all.
--- a/roadhead/tenants/desk.py
+++ b/roadhead/tenants/admission_controller.py
@@ -5,14 +5,14 @@
 
 import logging
 
-from roadhead.homes.machine import NOTHING, times
+from roadhead.machines.machine import NO_RESOURCES, fitting_count
 from roadhead.tenants import admission, ids
 from roadhead.tenants.keys import Secrets
 from roadhead.tenants.preemption import Preemption
-from roadhead.tenants.records import ACTIVE, key_of
+from roadhead.tenants.records import ACTIVE, tenant_key
 from roadhead.tenants.removal import Removal
-from roadhead.tenants.table import Table
-from roadhead.tenants.teams import Sharing, TenantTeams
+from roadhead.tenants.table import TenantTable
+from roadhead.tenants.teams import FairShare, TenantTeams
 from roadhead.wire import frames, messages
 
 log = logging.getLogger("roadhead.desk")
@@ -23,14 +23,14 @@
 WHOLE_FLEET = 1e6  # windows by which the share of a whole fleet comes later
 
 
-class Desk:
+class TenantAdmissionController:
     def __init__(self, loop, hosted, time_of_day):
         self._loop = loop
         self._hosted = hosted
         self._time_of_day = time_of_day
-        self.slots = hosted.slots
+        self.partitions = hosted.slots
         self.left_of = hosted.left_of
-        self.table = Table(self._on_change)
+        self.table = TenantTable(self._on_change)
         self.teams = TenantTeams(self.table)
         self.secrets = Secrets(hosted.master)
         self._rates = admission.Rates(loop)
@@ -48,28 +48,34 @@
         """A new incarnation starts: its queue goes by guarantees and weights."""
         workers = node.settings.deployment.workers
         window_s = workers.lease_s
-        sharing = Sharing(
-            self.teams, node.book.accounts, node.fleet.totals, BORROWING * window_s, WHOLE_FLEET * window_s
+        fair_share = FairShare(
+            self.teams,
+            node.job_store.accounts,
+            node.fleet.totals,
+            BORROWING * window_s,
+            WHOLE_FLEET * window_s,
         )
         self._preemption = Preemption(
             self._loop,
             node.member,
-            node.book,
-            sharing,
+            node.job_store,
+            fair_share,
             node.send,
             node.counters,
-            node.dispatcher.changed,
+            node.dispatcher.schedule_placement,
             patience_s=self._hosted.patience * workers.report_s,
             settle_s=workers.lease_s / 4,
         )
-        node.dispatcher.queue.sharing = sharing
+        node.dispatcher.queue.fair_share = fair_share
         if self._hosted.preempt:
             node.dispatcher.preemption = self._preemption
 
     def handlers(self):
         return {
-            frames.Borrowed: lambda label, _incarnation, frame: self._preemption.on_borrowed(label, frame),
-            frames.Reclaim: lambda _label, _incarnation, frame: self._preemption.on_reclaim(frame),
+            frames.BorrowedResources: lambda label, _incarnation, frame: self._preemption.on_borrowed(
+                label, frame
+            ),
+            frames.ReclaimResources: lambda _label, _incarnation, frame: self._preemption.on_reclaim(frame),
         }
 
     # What changes
@@ -80,11 +86,11 @@
         tenant = new.tenant
         group = str(tenant.number)
         if self.teams.stopping(group):
-            self._node.book.stop_group(group)
+            self._node.job_store.stop_group(group)
         self._removal.note(tenant)
         if old is not None and tenant.state != old.tenant.state:
             log.info("tenant %d is %s", tenant.number, tenant.state)
-        self._node.dispatcher.changed()
+        self._node.dispatcher.schedule_placement()
 
     def on_term(self):
         self._removal.wake()
@@ -92,9 +98,9 @@
     def tick(self, every):
         """With each beat. Now and then: what an owner that ended did not stop any more."""
         self._preemption.tell()
-        for group in self._node.book.accounts.groups() if every % 6 == 0 else ():
+        for group in self._node.job_store.accounts.groups() if every % 6 == 0 else ():
             if self.teams.stopping(group):
-                self._node.book.stop_group(group)
+                self._node.job_store.stop_group(group)
 
     # Guards of creations (jobs/recorder.py)
 
@@ -104,8 +110,8 @@
         number, _team = ids.from_team(job.spec.team)
         entry = self.table.entry(number)
         if entry is None or entry.tenant.state != ACTIVE:
-            return key_of(number), NEVER
-        return key_of(number), entry.stamp
+            return tenant_key(number), NEVER
+        return tenant_key(number), entry.stamp
 
     def later(self, job):
         """Creations of work beyond its team's guarantee are written after those within."""
@@ -116,9 +122,9 @@
         team = self.teams.get(spec.team)
         if team is None:
             return False
-        account = self._node.book.accounts.get(spec.team)
-        held = account.held if account is not None else NOTHING
-        return times((spec.cpus, spec.gpus), (team.cpus - held[0], team.gpus - held[1])) > 0
+        account = self._node.job_store.accounts.get(spec.team)
+        held = account.held if account is not None else NO_RESOURCES
+        return fitting_count((spec.cpus, spec.gpus), (team.cpus - held[0], team.gpus - held[1])) > 0
 
     def changed(self, key, record, stamp):
         """What a guard's key holds now; whether nothing may be created under it."""
@@ -148,33 +154,37 @@
 
         return own
 
-    def refusal(self, spec, most_creating):
+    def refusal(self, spec, max_creations):
         """Why a submission is not taken now, or None. Its job is not known here."""
         node = self._node
         member = node.member
         if self._loop.now() - member.watched_at > self._hosted.stale_s:
-            return admission.NOT_KNOWN  # whatever was decided of the tenant since
+            return admission.UNKNOWN_REFUSAL  # whatever was decided of the tenant since
         entry, team = self.table.team(spec.team)
         if team is None:
-            return admission.NOT_KNOWN
+            return admission.UNKNOWN_REFUSAL
         tenant = entry.tenant
-        resting = admission.standing(tenant)
+        resting = admission.state_refusal(tenant)
         if resting is not None:
             return resting
         group = str(tenant.number)
-        crowded = admission.crowded(node.book.creating(group), most_creating, self._within(spec))
+        crowded = admission.creation_refusal(
+            node.job_store.count_creating(group), max_creations, self._within(spec)
+        )
         if crowded is not None:
             return crowded
-        if member.term.warden(group) == member.label:
-            account = node.book.accounts.get(group)
+        if member.term.quota_leader(group) == member.label:
+            account = node.job_store.accounts.get(group)
             if account is not None:
                 waiting = self._waiting_of(group, account)
                 held_back = sum(
                     count
-                    for team, count in node.book.line.waits.by_team.items()
+                    for team, count in node.job_store.dependency_queue.dependencies.by_team.items()
                     if self.teams.group(team) == group
                 )
-                refused = admission.full(tenant.limits, len(account.jobs) + held_back, waiting, spec.tasks)
+                refused = admission.limit_refusal(
+                    tenant.limits, len(account.jobs) + held_back, waiting, spec.tasks
+                )
                 if refused is not None:
                     return refused
         refused = self._rates.take(tenant)
@@ -197,18 +207,18 @@
         teams = {}
         rows = []
         if entry is not None:
-            account = node.book.accounts.get(str(number))
+            account = node.job_store.accounts.get(str(number))
             jobs = account.jobs if account is not None else ()
             for name, team in entry.teams.items():
-                held = node.book.accounts.get(name)
+                held = node.job_store.accounts.get(name)
                 if held is not None:
                     teams[team.name] = [*held.held, held.tasks, len(held.jobs), held.waiting()]
-            rows = node.risk.rows_of(jobs, self._time_of_day())
-        warden = node.member.joined and node.member.term.warden(str(number)) == node.label
+            rows = node.deadline_tracker.rows_of(jobs, self._time_of_day())
+        quota_leader = node.member.joined and node.member.term.quota_leader(str(number)) == node.label
         return messages.encode(
             {
                 "teams": teams,
                 "classes": rows,
-                "warden": bool(warden and node.book.quota.knows_all(str(number))),
+                "warden": bool(quota_leader and node.job_store.quota.knows_all(str(number))),
             }
         )
--- a/roadhead/tenants/preemption.py
+++ b/roadhead/tenants/preemption.py
@@ -10,8 +10,8 @@
 
 import logging
 
-from roadhead.dispatch.headroom import Part, SharedHeadroom
-from roadhead.homes.machine import NOTHING, fits, times
+from roadhead.dispatch.headroom import SharedHeadroom, WaitingTasks
+from roadhead.machines.machine import NO_RESOURCES, fits, fitting_count
 from roadhead.wire import frames
 
 log = logging.getLogger("roadhead.preemption")
@@ -22,11 +22,11 @@
 class Preemption:
     """`patience_s` passes before room is asked back, `settle_s` before it is asked for again."""
 
-    def __init__(self, loop, member, book, sharing, send, counters, again, patience_s, settle_s):
+    def __init__(self, loop, member, job_store, fair_share, send, counters, again, patience_s, settle_s):
         self._loop = loop
         self._member = member
-        self._book = book
-        self._sharing = sharing
+        self._job_store = job_store
+        self._sharing = fair_share
         self._send = send
         self._count = counters.add
         self._again = again  # () -> None: look at what waits once more
@@ -48,8 +48,11 @@
         self._asked = {job: asked for job, asked in self._asked.items() if job in waiting}
         rows = {}
         soonest = None
-        parts = [Part(job, job.sure, job.rank, job.place, startable=True) for job in jobs]
-        SharedHeadroom(self._book.quota).share(parts)
+        parts = [
+            WaitingTasks(job, job.within_guarantee, job.rank, job.queue_position, startable=True)
+            for job in jobs
+        ]
+        SharedHeadroom(self._job_store.quota).share(parts)
         for part in parts:
             job = part.job
             left = self._since[job] + self._patience_s - now
@@ -63,7 +66,7 @@
                 continue
             self._asked[job] = (now + self._settle_s, part.within)
             spec = job.spec
-            key = (*job.need, spec.spot, spec.zone or "", tuple(spec.types or ()))
+            key = (*job.resources, spec.spot, spec.zone or "", tuple(spec.types or ()))
             rows[key] = rows.get(key, 0) + count
         if soonest is not None and self._timer is None:
             self._timer = self._loop.call_later(soonest, self._look_again)
@@ -81,7 +84,7 @@
         for (*need, spot, zone, types), count in rows:
             for label in sorted(left, key=lambda label: left[label], reverse=True):
                 # Owners tell of all they borrow; part of it may be on machines that do not fit.
-                part = min(count, times(need, left[label]))
+                part = min(count, fitting_count(need, left[label]))
                 if part > 0:
                     parts.setdefault(label, []).append((*need, part, spot, zone, list(types)))
                     left[label] = tuple(
@@ -92,7 +95,7 @@
                     break
         for label, own in parts.items():
             self._count("reclaims")
-            self._send(label, frames.Reclaim(own))
+            self._send(label, frames.ReclaimResources(own))
 
     # Whoever has borrowed
 
@@ -101,14 +104,14 @@
 
     def tell(self):
         """With each beat: what is borrowed here."""
-        total = NOTHING
-        for group in self._book.accounts.groups():
-            for team in self._book.accounts.get(group).teams:
+        total = NO_RESOURCES
+        for group in self._job_store.accounts.groups():
+            for team in self._job_store.accounts.get(group).teams:
                 total = tuple(map(sum, zip(total, self._sharing.borrowed(team), strict=True)))
         labels = self._member.term.members
         self._borrowed = {label: held for label, held in self._borrowed.items() if label in labels}
         for label in labels:
-            self._send(label, frames.Borrowed(*total))
+            self._send(label, frames.BorrowedResources(*total))
         now = self._loop.now()
         self._stopping = {key: until for key, until in self._stopping.items() if until > now}
 
@@ -121,7 +124,7 @@
     def _victims(self):
         """[(team, job, index, binding)]: tasks of teams that borrow, in the order in which
         they are to be stopped."""
-        accounts = self._book.accounts
+        accounts = self._job_store.accounts
         found = []
         now = self._loop.now()
         for group in accounts.groups():
@@ -172,17 +175,17 @@
 
     def _free_on_one(self, need, tasks, left, victims):
         """Makes room for one task, or more, by stopping some of a machine's; how many would fit."""
-        chosen, room = [], NOTHING
+        chosen, room = [], NO_RESOURCES
         taken = {}  # team -> what of it would stop
         for victim in tasks:
             team, job, _index, _binding = victim
             over = left.setdefault(team, self._sharing.borrowed(team))
-            stops = tuple(map(sum, zip(taken.get(team, NOTHING), job.need, strict=True)))
+            stops = tuple(map(sum, zip(taken.get(team, NO_RESOURCES), job.resources, strict=True)))
             if stops[0] > over[0] + 1e-6 or stops[1] > over[1] + 1e-6:
                 continue
             taken[team] = stops
             chosen.append(victim)
-            room = tuple(map(sum, zip(room, job.need, strict=True)))
+            room = tuple(map(sum, zip(room, job.resources, strict=True)))
             if fits(need, room):
                 break
         if not fits(need, room):
@@ -192,10 +195,10 @@
         for victim in chosen:
             victims.remove(victim)
             self._stop(*victim[1:])
-        return times(need, room)
+        return fitting_count(need, room)
 
     def _stop(self, job, index, binding):
         self._count("tasks_preempted")
         key = (job.id, index, binding.attempt)
         self._stopping[key] = self._loop.now() + self._settle_s + job.spec.save_s
-        self._book.stop(job, index, binding)
+        self._job_store.stop(job, index, binding)
