--- a/roadhead/tenants/records.py
+++ b/roadhead/tenants/records.py
@@ -27,7 +27,7 @@
 REQUESTS_KEPT = 8  # of the administrators' request keys, so that a repeated change is known
 
 
-class Contradiction(Exception):
+class InvalidTenantError(Exception):
     """A record that can't be; one line per fault in `faults`."""
 
     def __init__(self, faults):
@@ -116,7 +116,7 @@
         if not faults:
             faults += self._contradictions()
         if faults:
-            raise Contradiction(faults)
+            raise InvalidTenantError(faults)
 
     def _contradictions(self):
         for kind in ("cpus", "gpus"):
@@ -142,7 +142,7 @@
             size = len(msgspec.json.encode(version))
             if size <= largest:
                 return version
-        raise Contradiction(
+        raise InvalidTenantError(
             [f"the record would take {size} bytes, the state service takes {largest}: fewer teams or keys"]
         )
 
@@ -168,7 +168,7 @@
         """(next version, key): keys whose time is over make room."""
         keys = [key for key in self.keys if not key.until or now < key.until]
         if len(keys) >= KEYS_MOST:
-            raise Contradiction([f"keys: at most {KEYS_MOST}"])
+            raise InvalidTenantError([f"keys: at most {KEYS_MOST}"])
         key = Key(self.next_key, digest, scopes, label, request=request or "")
         return self.changed(request, keys=[*keys, key], next_key=self.next_key + 1), key
 
@@ -197,7 +197,7 @@
 }
 
 
-def transit(tenant, verb, request=None, running=FINISH):
+def transition(tenant, verb, request=None, running=FINISH):
     """The tenant after `verb`, itself if it is there already; None if that may not follow."""
     allowed, state = TRANSITIONS[verb]
     if tenant.state not in allowed:
@@ -226,5 +226,5 @@
     return msgspec.convert({**record, "teams": teams, "limits": limits}, Tenant)
 
 
-def key_of(number):
+def tenant_key(number):
     return f"{TENANT}{number:05d}"
--- a/roadhead/tenants/removal.py
+++ b/roadhead/tenants/removal.py
@@ -12,14 +12,14 @@
 
 import logging
 
-from roadhead.jobs.job import FINAL, KEY, SHELF, closing
+from roadhead.jobs.job import ARCHIVE, FINAL, KEY, cancelled_record
 from roadhead.membership.member import CANCEL
 from roadhead.pipelines.ancestry import CANCELS
 from roadhead.runtime.loop import Signal
-from roadhead.shares.hashing import pick
-from roadhead.state.client import Conflict, Unavailable, Unsure
+from roadhead.shards.hashing import rendezvous_choice
+from roadhead.state.client import ConflictError, UnavailableError, UnknownOutcomeError
 from roadhead.tenants import ids
-from roadhead.tenants.records import REMOVING, key_of, transit
+from roadhead.tenants.records import REMOVING, tenant_key, transition
 
 log = logging.getLogger("roadhead.removal")
 
@@ -59,7 +59,7 @@
         return [
             number
             for number in sorted(self._going)
-            if pick(member.term.members, f"removal {number}") == member.label
+            if rendezvous_choice(member.term.members, f"removal {number}") == member.label
         ]
 
     async def run(self):
@@ -75,19 +75,19 @@
                 spent = 0
                 try:
                     spent = await self._piece(entry)
-                except (Unavailable, Unsure) as error:
+                except (UnavailableError, UnknownOutcomeError) as error:
                     log.debug("removal of tenant %d: %r", number, error)
-                except Conflict:
+                except ConflictError:
                     await self._read(number)
                 await self._loop.sleep(max(0.25, spent / (WRITES_PART * writes.rate)))
 
     async def _read(self, number):
         try:
-            record, stamp = await self._state.get(key_of(number))
-        except (Unavailable, Unsure):
+            record, stamp = await self._state.get(tenant_key(number))
+        except (UnavailableError, UnknownOutcomeError):
             return
         if record is not None:
-            self._table.take(key_of(number), record, stamp)
+            self._table.take(tenant_key(number), record, stamp)
 
     async def _piece(self, entry):
         """Takes one step further; returns the writes that it took."""
@@ -99,7 +99,7 @@
         since = self._quiet_since.setdefault(tenant.number, self._loop.now())
         if self._loop.now() - since < MARGIN * self._cancel_s:
             return 0
-        for place in (KEY, SHELF, CANCEL):
+        for place in (KEY, ARCHIVE, CANCEL):
             items = await self._some(place, tenant.number, lambda record: True)
             if items:
                 return await self._drop(entry, items)
@@ -125,16 +125,16 @@
         writes = []
         for key, record, _stamp in items:
             job_id = key[len(KEY) :]
-            writes += [{"put": key, "data": closing(record)}, {"put": CANCEL + job_id, "data": True}]
+            writes += [{"put": key, "data": cancelled_record(record)}, {"put": CANCEL + job_id, "data": True}]
         writes.append({"put": CANCELS, "data": job_id})
         try:
             await self._state.multi([(key, stamp) for key, _record, stamp in items], writes)
-        except Conflict:
+        except ConflictError:
             return len(writes)  # progress was written meanwhile
         jobs = [key[len(KEY) :] for key, _record, _stamp in items]
         for job_id in jobs:
-            self._node.book.cancelled(job_id)
-        self._node.cancelled(jobs)
+            self._node.job_store.cancelled(job_id)
+        self._node.announce_cancelled(jobs)
         self._node.counters.add("jobs_removed", len(jobs))
         return len(writes)
 
@@ -144,18 +144,18 @@
         items = items[: self._most]
         # Only while the tenant is being removed, by the record itself: never on hearsay.
         await self._state.multi(
-            [(key_of(entry.tenant.number), entry.stamp), *((key, stamp) for key, _, stamp in items)],
+            [(tenant_key(entry.tenant.number), entry.stamp), *((key, stamp) for key, _, stamp in items)],
             [{"drop": key} for key, _record, _stamp in items],
         )
         return len(items)
 
     async def _bury(self, entry):
-        tenant = transit(entry.tenant, "bury")
+        tenant = transition(entry.tenant, "bury")
         revision = await self._state.multi(
-            [(key_of(tenant.number), entry.stamp)],
-            [{"put": key_of(tenant.number), "data": tenant.to_record()}],
+            [(tenant_key(tenant.number), entry.stamp)],
+            [{"put": tenant_key(tenant.number), "data": tenant.to_record()}],
         )
-        self._table.take(key_of(tenant.number), tenant.to_record(), revision)
+        self._table.take(tenant_key(tenant.number), tenant.to_record(), revision)
         self._quiet_since.pop(tenant.number, None)
         log.info("tenant %d is gone", tenant.number)
         return 1
--- a/roadhead/tenants/table.py
+++ b/roadhead/tenants/table.py
@@ -11,7 +11,7 @@
 log = logging.getLogger("roadhead.tenants")
 
 
-class Entry:
+class TenantEntry:
     """A tenant with the stamp of its record, by which transactions are guarded, and its teams by
     their names in the service."""
 
@@ -23,7 +23,7 @@
         self.teams = {ids.to_team(tenant.number, team.name): team for team in tenant.teams}
 
 
-class Table:
+class TenantTable:
     """`on_change(old, new)` is told of each change, with entries or None."""
 
     def __init__(self, on_change=lambda old, new: None):
@@ -36,7 +36,7 @@
         if old is not None and stamp <= old.stamp:
             return
         try:
-            entry = Entry(from_record(record), stamp)
+            entry = TenantEntry(from_record(record), stamp)
         except (msgspec.ValidationError, KeyError, TypeError) as error:
             log.error("record %s is not a tenant's: %s", key, error)
             return
--- a/roadhead/tenants/teams.py
+++ b/roadhead/tenants/teams.py
@@ -9,7 +9,7 @@
 import heapq
 from itertools import chain, islice
 
-from roadhead.homes.machine import NOTHING, times
+from roadhead.machines.machine import NO_RESOURCES, fitting_count
 from roadhead.tenants import ids
 from roadhead.tenants.records import ACTIVE, REMOVED, STOP, SUSPENDED
 
@@ -65,7 +65,7 @@
         return tenant.state == REMOVED or (tenant.state == SUSPENDED and tenant.running == STOP)
 
 
-def dominant(amounts, totals):
+def dominant_share(amounts, totals):
     """The largest part that the amounts are of the fleet's (cpus, gpus, memory)."""
     return max(
         (amount / total if total > 0 else 1.0 if amount > 0 else 0.0)
@@ -73,7 +73,7 @@
     )
 
 
-class Sharing:
+class FairShare:
     """Who comes first when teams have guarantees and weights.
 
     Work within its team's guarantee comes before all that borrows, in its own order. Tenants
@@ -91,7 +91,7 @@
 
     def _held(self, name):
         account = self._accounts.get(name)
-        return account.held if account is not None else NOTHING
+        return account.held if account is not None else NO_RESOURCES
 
     def candidates(self):
         """Jobs that may come first: of each group some, the most urgent and of those the oldest.
@@ -102,7 +102,7 @@
         each = max(ORDERED_LEAST, ORDERED_MOST // max(1, len(groups)))
         for group in groups:
             by_rank = chain.from_iterable(self._accounts.get(group).by_rank)
-            yield from islice((job for job in by_rank if job.free and job.state == "open"), each)
+            yield from islice((job for job in by_rank if job.unstarted and job.state == "open"), each)
 
     def borrowed(self, team):
         """(cpus, gpus, memory) that a team holds beyond its guarantee.
@@ -118,10 +118,10 @@
     def ahead(self, team):
         """How far a team is ahead with what it borrows, by its tenant's weight and its own."""
         tenant, own = self._teams.weights(team)
-        return dominant(self.borrowed(team), self._totals()) / (tenant * own)
+        return dominant_share(self.borrowed(team), self._totals()) / (tenant * own)
 
-    def arrange(self, jobs):
-        """Sets `place`, `sure` and `part` (tasks that it may start before the next round) of each
+    def assign_positions(self, jobs):
+        """Sets `queue_position`, `sure` and `part` (tasks that it may start before the next round) of each
         job with waiting tasks. `jobs` come in the order that they had if nobody shared."""
         totals = self._totals()
         left = {}  # team -> (cpus, gpus) of its guarantee that are free
@@ -136,30 +136,34 @@
                 known = self._teams.get(team)
                 held = self._held(team)
                 room = (known.cpus - held[0], known.gpus - held[1]) if known is not None else (0.0, 0.0)
-            job.sure = min(count, times(job.need, room))
-            left[team] = tuple(free - job.sure * part for free, part in zip(room, job.need, strict=False))
-            job.part = job.sure
-            job.later = NO_PLACE
-            if job.sure < count:
+            job.within_guarantee = min(count, fitting_count(job.resources, room))
+            left[team] = tuple(
+                free - job.within_guarantee * part for free, part in zip(room, job.resources, strict=False)
+            )
+            job.round_allowance = job.within_guarantee
+            job.borrowed_position = NO_PLACE
+            if job.within_guarantee < count:
                 borrowers.setdefault(self._teams.group(team), {}).setdefault(team, []).append(job)
         queue = []  # (share by weight, group): of each tenant that borrows, its first job
         for group, teams in borrowers.items():
-            share = sum(dominant(self.borrowed(team), totals) for team in self._teams_of(group, teams))
+            share = sum(dominant_share(self.borrowed(team), totals) for team in self._teams_of(group, teams))
             weight = self._teams.weights(next(iter(teams)))[0]
             for job, before in self._merged(teams, totals):
-                job.later = self._base + self._step * (share + before) / weight
+                job.borrowed_position = self._base + self._step * (share + before) / weight
                 if not before:
                     queue.append((share / weight, weight, job))
         queue.sort(key=lambda entry: entry[0])
         for number, (share, weight, job) in enumerate(queue):
             ahead = queue[number + 1][0] - share + QUANTUM if number + 1 < len(queue) else NO_PLACE
-            task = dominant(job.need, totals)
-            if job.sure:
+            task = dominant_share(job.resources, totals)
+            if job.within_guarantee:
                 continue  # what it borrows comes in the next round
-            job.part = EVERYTHING if task <= 0 or ahead == NO_PLACE else max(1, int(ahead * weight / task))
+            job.round_allowance = (
+                EVERYTHING if task <= 0 or ahead == NO_PLACE else max(1, int(ahead * weight / task))
+            )
         for job in jobs:
-            if not job.sure:
-                job.place = job.later
+            if not job.within_guarantee:
+                job.queue_position = job.borrowed_position
 
     def _teams_of(self, group, teams):
         """The teams of a group that hold anything, and those that wait."""
@@ -172,14 +176,14 @@
         heads = []
         for team, jobs in teams.items():
             weight = self._teams.weights(team)[1]
-            heads.append((dominant(self.borrowed(team), totals) / weight, team, weight, 0, jobs))
+            heads.append((dominant_share(self.borrowed(team), totals) / weight, team, weight, 0, jobs))
         heapq.heapify(heads)
         before = 0.0
         while heads:
             share, team, weight, at, jobs = heapq.heappop(heads)
             job = jobs[at]
             yield job, before
-            size = dominant(job.need, totals) * (job.startable() - job.sure)
+            size = dominant_share(job.resources, totals) * (job.startable() - job.within_guarantee)
             before += max(size, 1e-9)
             if at + 1 < len(jobs):
                 heapq.heappush(heads, (share + size / weight, team, weight, at + 1, jobs))
--- a/roadhead/wire/frames.py
+++ b/roadhead/wire/frames.py
@@ -14,7 +14,7 @@
 FIXED = {"q": "Q", "d": "d", "?": "?"}
 
 
-class BadFrame(Exception):
+class FrameError(Exception):
     """Garbage, truncated or oversized."""
 
 
@@ -67,7 +67,7 @@
             (size,) = U32.unpack_from(data, at)
             at += 4
             if at + size > len(data):
-                raise BadFrame("truncated")
+                raise FrameError("truncated")
             values.append(bytes(data[at : at + size]))
             at += size
         elif step == "T":
@@ -88,7 +88,7 @@
     (size,) = U16.unpack_from(data, at)
     at += 2
     if at + size > len(data):
-        raise BadFrame("truncated")
+        raise FrameError("truncated")
     return data[at : at + size].decode(), at + size
 
 
@@ -154,7 +154,7 @@
             after, at = _unpack(cls._after, data, at)
             values += after
         if at != len(data):
-            raise BadFrame("trailing bytes")
+            raise FrameError("trailing bytes")
         return cls(*values)
 
 
@@ -165,16 +165,16 @@
     fields = ("label", "incarnation")
 
 
-class Beat(Frame):
+class Heartbeat(Frame):
     """Sign of life: the term served, whether the state service answers here, whether most
-    machines homed here have fallen silent (`deaf`), and what was used of the state service
+    machines homed here have fallen silent (`workers_silent`), and what was used of the state service
     lately, a second."""
 
     kind, layout = 2, "q??dd"
-    fields = ("term", "state_ok", "deaf", "requests", "writes")
+    fields = ("term", "state_ok", "workers_silent", "requests", "writes")
 
 
-class TermNews(Frame):
+class TermUpdate(Frame):
     """The term record (CBOR) with its revision."""
 
     kind, layout = 3, "qb"
@@ -206,7 +206,7 @@
         "taken",
         "type",
         "zone",
-        "home",
+        "leader",
         "spot",
         "cpus",
         "gpus",
@@ -216,21 +216,21 @@
     )
 
 
-class Return(Frame):
+class ReturnGrant(Frame):
     """The receiver of a grant hands it back."""
 
     kind, layout = 6, "sqq"
     fields = ("machine", "serial", "length")
 
 
-class Revoke(Frame):
+class RevokeGrant(Frame):
     """The home takes a grant back."""
 
     kind, layout = 7, "sq"
     fields = ("machine", "serial")
 
 
-class Start(Frame):
+class StartTasks(Frame):
     """Start tasks of a job on granted room; `last`: the rest of the room is handed back. The grant says
     whether they may start; `term` is read by nobody any more."""
 
@@ -254,7 +254,7 @@
     row = "qq"  # index attempt
 
 
-class Refused(Frame):
+class StartRefused(Frame):
     """The home did not take a start, and never will."""
 
     kind, layout = 9, "ssqq"
@@ -269,19 +269,19 @@
     row = "sqqss"  # job index attempt status cause
 
 
-class Free(Frame):
+class AttemptGone(Frame):
     """An attempt is surely on no machine and can't come onto one any more."""
 
     kind, layout = 11, "ssqqs"
     fields = ("machine", "job", "index", "attempt", "cause")
 
 
-class Stop(Frame):
+class StopTask(Frame):
     kind, layout = 12, "ssqqd"
     fields = ("machine", "job", "index", "attempt", "grace")
 
 
-class Forget(Frame):
+class ForgetAttempts(Frame):
     """Attempts that have ended and are recorded, or that nobody needs."""
 
     kind, layout = 13, "R"
@@ -289,7 +289,7 @@
     row = "ssqq"  # machine job index attempt
 
 
-class Sync(Frame):
+class ReconcileRequest(Frame):
     """An owner names jobs it owns and attempts it believes bound to machines homed at the receiver."""
 
     kind, layout = 14, "qqTR"
@@ -297,35 +297,35 @@
     row = "ssqq"  # machine job index attempt
 
 
-class Synced(Frame):
+class ReconcileDone(Frame):
     """All that the home knows of the jobs of a sync has been sent, and it knows all there is."""
 
     kind, layout = 15, "qq"
     fields = ("term", "number")
 
 
-class CancelNews(Frame):
+class JobsCancelled(Frame):
     """These jobs are durably cancelled."""
 
     kind, layout = 16, "T"
     fields = ("jobs",)
 
 
-class JobFails(Frame):
+class JobFaulty(Frame):
     """A job seems to fail wherever it runs: its failures tell nothing of a machine."""
 
     kind, layout = 20, "s"
     fields = ("job",)
 
 
-class Borrowed(Frame):
+class BorrowedResources(Frame):
     """What the sender's jobs hold beyond their teams' guarantees."""
 
     kind, layout = 21, "ddd"
     fields = ("cpus", "gpus", "memory")
 
 
-class Reclaim(Frame):
+class ReclaimResources(Frame):
     """Room is wanted back for work within a guarantee: rows of tasks for which borrowed work of
     the receiver's shall stop."""
 
@@ -334,7 +334,7 @@
     row = "dddq?sT"  # cpus gpus memory count spot zone types
 
 
-class Handover(Frame):
+class HandoverMachines(Frame):
     """Machines that the sender was home to and the receiver is, by the term; `draining`: to be given up."""
 
     kind, layout = 23, "R"
@@ -343,14 +343,14 @@
 
 
 class HandoverJobs(Frame):
-    """Owners and needs of jobs with tasks on machines that follow in a `Handover`."""
+    """Owners and needs of jobs with tasks on machines that follow in a `HandoverMachines`."""
 
     kind, layout = 24, "R"
     fields = ("rows",)
     row = "ssqdddsdd?"  # job owner incarnation cpus gpus memory image image_gb save_s saves
 
 
-class HomeNews(Frame):
+class MachineCounts(Frame):
     """For the renter: machines homed at the sender, one row a machine type, zone and kind."""
 
     kind, layout = 17, "R"
@@ -358,14 +358,14 @@
     row = "ss?qqddd"  # type zone spot machines idle free_cpus free_gpus free_memory
 
 
-class Orphan(Frame):
+class OrphanedJob(Frame):
     """A job was accepted that the receiver should own."""
 
     kind, layout = 19, "s"
     fields = ("job",)
 
 
-class SummaryNews(Frame):
+class SummaryPart(Frame):
     """The sender's part of the summary: rows of classes, machines failing, duties behind now, and
     what went wrong since its start."""
 
@@ -374,7 +374,7 @@
     row = "sqqqq"  # class open done late at_risk
 
 
-class JobsOver(Frame):
+class JobsEnded(Frame):
     """Jobs that are over, by records that are durable, or that follow from such a record. Sent behind the
     gate only."""
 
@@ -383,7 +383,7 @@
     row = "sqqd?"  # job tasks done ended_at cancelled
 
 
-class Wishes(Frame):
+class UpstreamPriorities(Frame):
     """What waiting jobs want of those that they need: times of day by which they must be done, infinite
     for none, and the last job of the pipeline, whose deadline that is. A hint. Sent behind the gate only."""
 
@@ -392,7 +392,7 @@
     row = "ssqdds"  # job wanted_by urgency due_by last_by end
 
 
-class StateLowered(Frame):
+class StateLimitsLowered(Frame):
     """The state service has the limits that it was to have later. Sent behind the gate only."""
 
     kind, layout = 27, "?"
@@ -402,7 +402,7 @@
 KINDS = {cls.kind: cls for cls in Frame.__subclasses__()}
 
 
-class Splitter:
+class FrameDecoder:
     """Cuts a byte stream into frames."""
 
     def __init__(self):
@@ -412,23 +412,23 @@
         self._buffer += data
 
     def frames(self):
-        """All whole frames so far. Raises BadFrame."""
+        """All whole frames so far. Raises FrameError."""
         buffer = self._buffer
         at = 0
         found = []
         while len(buffer) - at >= HEAD.size:
             length, kind = HEAD.unpack_from(buffer, at)
             if not 1 <= length <= MAX_FRAME:
-                raise BadFrame("length")
+                raise FrameError("length")
             if len(buffer) - at < 4 + length:
                 break
             cls = KINDS.get(kind)
             if cls is None:
-                raise BadFrame("kind")
+                raise FrameError("kind")
             try:
                 found.append(cls.parse(memoryview(buffer)[at + HEAD.size : at + 4 + length].tobytes()))
             except (struct.error, UnicodeDecodeError, IndexError) as error:
-                raise BadFrame(str(error)) from None
+                raise FrameError(str(error)) from None
             at += 4 + length
         del buffer[:at]
         return found
--- a/roadhead/wire/http.py
+++ b/roadhead/wire/http.py
@@ -37,7 +37,7 @@
 }
 
 
-class BadMessage(Exception):
+class HttpMessageError(Exception):
     """A message that breaks HTTP. `status` is what a server answers before it closes."""
 
     def __init__(self, status, text):
@@ -77,12 +77,12 @@
         self._buffer += data
 
     def next(self):
-        """The next whole message, or None. Raises BadMessage."""
+        """The next whole message, or None. Raises HttpMessageError."""
         if self._head is None:
             end = self._buffer.find(b"\r\n\r\n", 0, MAX_HEAD + 4)
             if end < 0:
                 if len(self._buffer) > MAX_HEAD:
-                    raise BadMessage(431, "head too large")
+                    raise HttpMessageError(431, "head too large")
                 return None
             self._parse_head(bytes(self._buffer[:end]))
             del self._buffer[: end + 4]
@@ -98,15 +98,15 @@
         self._length = length
         if self._response:
             if not parts[0].startswith("HTTP/1.") or not parts[1].isdigit():
-                raise BadMessage(400, "bad status line")
+                raise HttpMessageError(400, "bad status line")
             message = Message(None, None, int(parts[1]), headers, b"", close)
         else:
             if len(parts) != 3 or parts[2] not in ("HTTP/1.1", "HTTP/1.0"):
-                raise BadMessage(400, "bad request line")
+                raise HttpMessageError(400, "bad request line")
             close = close or parts[2] == "HTTP/1.0"
             message = Message(parts[0], parts[1], None, headers, b"", close)
         if length > self._max_body:
-            raise BadMessage(413, "body too large")
+            raise HttpMessageError(413, "body too large")
         self._head = message
 
 
@@ -120,24 +120,24 @@
     try:
         first, *lines = head.decode("latin-1").split("\r\n")
     except ValueError:
-        raise BadMessage(400, "head not text") from None
+        raise HttpMessageError(400, "head not text") from None
     parts = first.split(" ", 2)
     if len(parts) < 2:
-        raise BadMessage(400, "bad first line")
+        raise HttpMessageError(400, "bad first line")
     headers = {}
     for line in lines:
         name, colon, value = line.partition(":")
         if not colon or not name or name != name.strip():
-            raise BadMessage(400, "bad header line")
+            raise HttpMessageError(400, "bad header line")
         name = name.lower()
         if name == "content-length" and name in headers and headers[name] != value.strip():
-            raise BadMessage(400, "two lengths")
+            raise HttpMessageError(400, "two lengths")
         headers[name] = value.strip()
     if "transfer-encoding" in headers:
-        raise BadMessage(400, "transfer encodings are not taken")
+        raise HttpMessageError(400, "transfer encodings are not taken")
     length = headers.get("content-length", "0")
     if not (length.isascii() and length.isdigit()):
-        raise BadMessage(400, "bad length")
+        raise HttpMessageError(400, "bad length")
     close = "close" in headers.get("connection", "").lower()
     # A number too long to be honest is larger than any body taken.
     return parts, headers, int(length) if len(length) < 12 else 1 << 62, close
@@ -215,7 +215,7 @@
             stream.write(response_bytes(status, body, message.close, *more))
             if message.close:
                 return
-    except BadMessage as bad:
+    except HttpMessageError as bad:
         log.debug("bad request: %s", bad)
         try:
             stream.write(response_bytes(bad.status, close=True))
@@ -230,7 +230,7 @@
         stream.close()
 
 
-class NoAnswer(Exception):
+class NoResponseError(Exception):
     """A request got no response; the other side may have executed it, or may still do so.
 
     `sent` is False if no byte of it left, so that it can't have been executed.
@@ -253,7 +253,7 @@
         self._max_body = max_body
 
     async def request(self, method, target, body=b"", timeout=4.0, headers=(), kind="application/cbor"):
-        """The response as (status, body, headers). Raises NoAnswer."""
+        """The response as (status, body, headers). Raises NoResponseError."""
         loop = self._loop
         deadline = loop.now() + timeout
         stream = None
@@ -269,7 +269,7 @@
             try:
                 stream = await self._net.connect(self.address, timeout)
             except (Closed, Timeout) as error:
-                raise NoAnswer(f"connect {self.address}: {error!r}", sent=False) from None
+                raise NoResponseError(f"connect {self.address}: {error!r}", sent=False) from None
         timer = loop.call_at(deadline, stream.close)
         keep = False
         try:
@@ -278,14 +278,14 @@
             while (message := parser.next()) is None:
                 data = await stream.read()
                 if not data:
-                    raise NoAnswer(f"{method} {target}: {'closed' if fresh else 'closed idle'}")
+                    raise NoResponseError(f"{method} {target}: {'closed' if fresh else 'closed idle'}")
                 parser.feed(data)
             keep = not message.close and parser.empty
             return message.status, message.body, message.headers
         except Closed:
-            raise NoAnswer(f"{method} {target}: closed") from None
-        except BadMessage as bad:
-            raise NoAnswer(f"{method} {target}: {bad}") from None
+            raise NoResponseError(f"{method} {target}: closed") from None
+        except HttpMessageError as bad:
+            raise NoResponseError(f"{method} {target}: {bad}") from None
         finally:
             timer.cancel()
             if keep and not stream.closed and len(self._idle) < self._max_idle:
--- a/roadhead/wire/messages.py
+++ b/roadhead/wire/messages.py
@@ -16,7 +16,7 @@
 MAP_TYPE, INDEFINITE_MAP, BREAK = 5, 0xBF, 0xFF  # CBOR: major type, first byte, byte that ends it
 
 
-class Invalid(Exception):
+class InvalidMessageError(Exception):
     """A body that is not what the protocol asks for."""
 
 
@@ -25,13 +25,13 @@
     try:
         return cbor2.loads(body)
     except Exception as error:  # the decoder raises many kinds for garbage
-        raise Invalid(f"not CBOR: {error}") from None
+        raise InvalidMessageError(f"not CBOR: {error}") from None
 
 
 def decode_map(body):
     value = decode(body)
     if type(value) is not dict:
-        raise Invalid("not a map")
+        raise InvalidMessageError("not a map")
     return value
 
 
@@ -47,11 +47,11 @@
     try:
         pairs = _read_pairs(decoder, stream)
     except Exception as error:  # as in `decode`
-        raise Invalid(f"not CBOR: {error}") from None
+        raise InvalidMessageError(f"not CBOR: {error}") from None
     if pairs != len(value):
-        raise Invalid("a field more than once")
+        raise InvalidMessageError("a field more than once")
     if stream.tell() != len(body):
-        raise Invalid("bytes after the map")
+        raise InvalidMessageError("bytes after the map")
     return value
 
 
@@ -77,7 +77,7 @@
 encode = cbor2.dumps
 
 
-def read(body, kind):
+def decode_as(body, kind):
     """The body as a struct of type `kind`."""
     return parse(decode_map(body), kind)
 
@@ -86,7 +86,7 @@
     try:
         return msgspec.convert(value, kind)
     except (msgspec.ValidationError, ValueError, TypeError, OverflowError) as error:
-        raise Invalid(str(error)) from None
+        raise InvalidMessageError(str(error)) from None
 
 
 def write(struct):
@@ -142,14 +142,14 @@
     def check(self):
         """Raises Invalid for values that no job can have."""
         if not JOB_ID.match(self.id):
-            raise Invalid("id")
+            raise InvalidMessageError("id")
         # A group's tasks are of use only together: on their machines they wait for one another.
         if self.kind not in ("batch", "daemon", "group"):
-            raise Invalid("shape")
+            raise InvalidMessageError("shape")
         if self.urgency not in URGENCIES:
-            raise Invalid("urgency")
+            raise InvalidMessageError("urgency")
         if not 1 <= self.tasks <= MAX_TASKS:
-            raise Invalid("legs")
+            raise InvalidMessageError("legs")
         amounts = (
             self.cpus,
             self.gpus,
@@ -162,13 +162,13 @@
         )
         for amount in amounts:
             if not (math.isfinite(amount) and 0 <= amount < MAX_AMOUNT):
-                raise Invalid("amount out of range")
+                raise InvalidMessageError("amount out of range")
         for text in (self.klass, self.team, self.image or "", self.zone or "", *(self.types or ())):
             if len(text) > 200:
-                raise Invalid("text too long")
+                raise InvalidMessageError("text too long")
         for name in self.upstream or ():
             if not JOB_ID.match(name):
-                raise Invalid(f"upstream: {name[:40]!r} is no job id")
+                raise InvalidMessageError(f"upstream: {name[:40]!r} is no job id")
 
 
 class TaskReport(Struct, rename={"task": "leg", "attempt": "try"}):
@@ -208,7 +208,7 @@
     def check(self):
         for count in (self.session, self.sequence, self.token):
             if not 0 <= count < MAX_COUNT:
-                raise Invalid("count out of range")
+                raise InvalidMessageError("count out of range")
 
 
 class MachineType(
@@ -239,7 +239,7 @@
     types: list[MachineType]
 
 
-class Listed(
+class ListedMachine(
     Struct,
     rename={
         "address": "endpoint",
@@ -259,11 +259,11 @@
 
 
 class MachineList(Struct, rename={"machines": "drovers", "more": "hasNext"}):
-    machines: list[Listed]
+    machines: list[ListedMachine]
     more: bool = False
 
 
-class Rented(Struct, rename={"machines": "drovers"}):
+class RentedMachines(Struct, rename={"machines": "drovers"}):
     machines: list[str] = field(default_factory=list)
 
 
@@ -275,7 +275,7 @@
     """(job id, index) of a task's name; Invalid if it has another form."""
     job, slash, index = name.rpartition("/")
     if not slash or not index.isdigit() or len(index) > 9:
-        raise Invalid("task name")
+        raise InvalidMessageError("task name")
     return job, int(index)
 
 
--- a/tests/answer_order.py
+++ b/tests/answer_order.py
@@ -3,9 +3,9 @@
 from dataclasses import replace
 from itertools import product
 
-from roadhead.local.histories import ACCEPTED, FINAL, REFUSED, Answer, Question
-from roadhead.local.scenario import job_from
-from roadhead.local.user import User
+from roadhead.local.histories import ACCEPTED, FINAL, REFUSED, Answer, RequestKind
+from roadhead.local.scenario import parse_job
+from roadhead.local.user import EmulatedUser
 from roadhead.local.world import World
 from roadhead.runtime.loop import Future
 
@@ -69,7 +69,7 @@
     ]
 
 
-class RecordingUser(User):
+class RecordingUser(EmulatedUser):
     """A user whose answers are all recorded in the world's `answers`. Submits through the controller `own`.
 
     Answers that come after it was told of its job's end may be older, since the requests overlapped; User
@@ -86,7 +86,7 @@
         reply = await super()._ask(method, path, body, timeout, via)
         state = reply.body.get("status") if reply.body else None
         controller = "" if via is None else self.world.fronts[via]
-        question = Question.POLL if method == "GET" else Question.SUBMIT
+        question = RequestKind.POLL if method == "GET" else RequestKind.SUBMIT
         self.world.heard(
             Answer(self.id, question, controller, reply.asked_at, self.sim.time, reply.status, state)
         )
@@ -156,7 +156,7 @@
         self.state.multi({"if": [], "writes": [{"put": f"f/{name}", "data": record}, {"drop": f"j/{name}"}]})
 
     def _submit(self, number):
-        job = {**job_from({"legs": "1", "runS": "1000", "expectS": "10"}), "id": self.job_id(number)}
+        job = {**parse_job({"legs": "1", "runS": "1000", "expectS": "10"}), "id": self.job_id(number)}
         if self._event == "cancelled above" and number < JOBS:
             job["upstream"] = [self.job_id(number + JOBS)]
         self.jobs[job["id"]] = job
@@ -179,7 +179,7 @@
         return [
             (node.label, job_id)
             for node in self.nodes.values()
-            for job_id, job in node.book.jobs.items()
+            for job_id, job in node.job_store.jobs.items()
             if job_id in ended and job.state == "open"
         ]
 
@@ -191,7 +191,7 @@
         if "GET" in methods:
             self.user_loop.spawn(user._ask("GET", f"/v1/jobs/{job_id}", None, 2.0, via), "ask")
         if "POST" in methods and (self._event in EVENTS_OF_NEW_JOBS or user.accepted):
-            self.user_loop.spawn(user._ask("POST", "/v1/jobs", user.described(), 5.0, via), "repeat")
+            self.user_loop.spawn(user._ask("POST", "/v1/jobs", user.submission(), 5.0, via), "repeat")
 
     def _ask_often(self, number):
         for step in range(round((QUERY_BEFORE_S + QUERY_AFTER_S) / QUERY_INTERVAL_S)):
--- a/tests/enumerated.py
+++ b/tests/enumerated.py
@@ -106,7 +106,9 @@
     """Plays a case: (its parameters, rules broken, jobs not ended, tasks killed, tasks given back)."""
     parameters, text = case
     world = World(text).run()
-    open_jobs = sum(user.accepted and user.told not in ("done", "cancelled") for user in world.users.values())
+    open_jobs = sum(
+        user.accepted and user.last_state not in ("done", "cancelled") for user in world.users.values()
+    )
     return parameters, world.check(), open_jobs, world.killed, world.given_back
 
 
@@ -131,7 +133,7 @@
     """Plays a case: (its parameters, rules broken, longest run after a cancellation, tasks killed)."""
     parameters, text = case
     world = World(text).run()
-    return parameters, len(world.broken), world.longest_gone, world.killed
+    return parameters, len(world.violations), world.longest_gone, world.killed
 
 
 def table_of_first(jobs):
--- a/tests/fault_combinations.py
+++ b/tests/fault_combinations.py
@@ -169,7 +169,9 @@
 def played(combination):
     """Plays a Combination and returns its Outcome. Every job is expected to end."""
     world = World(combination.text).run()
-    open_jobs = sum(user.accepted and user.told not in ("done", "cancelled") for user in world.users.values())
+    open_jobs = sum(
+        user.accepted and user.last_state not in ("done", "cancelled") for user in world.users.values()
+    )
     return Outcome(combination, world.check(), open_jobs)
 
 
--- a/tests/handovers.py
+++ b/tests/handovers.py
@@ -218,7 +218,7 @@
     return Outcome(
         case,
         world.check(),
-        sum(user.accepted and user.told not in ("done", "cancelled") for user in users),
+        sum(user.accepted and user.last_state not in ("done", "cancelled") for user in users),
         world.killed,
         world.longest_gone,
         world.starts_after,
--- a/tests/hunt.py
+++ b/tests/hunt.py
@@ -55,12 +55,12 @@
     """
     world = World(draw(seed)).run()
     faults = world.check() + [
-        f"{job} is {user.told}"
+        f"{job} is {user.last_state}"
         for job, user in world.users.items()
-        if user.accepted and user.told not in ("done", "cancelled")
+        if user.accepted and user.last_state not in ("done", "cancelled")
     ]
     for job, user in world.users.items():
-        if user.told == "done" and world.cancelled_above(job):
+        if user.last_state == "done" and world.cancelled_above(job):
             faults.append(f"{job} is done, and one that it needs cancelled")
     if world.state.oversized:
         faults.append(f"{world.state.oversized} writes were too large")
--- a/tests/limit_failovers.py
+++ b/tests/limit_failovers.py
@@ -60,7 +60,7 @@
         terms = [node.member.term for node in self.nodes.values() if node.member.term is not None]
         newest = max(terms, key=lambda term: term.number, default=None)
         group = "crew" if self.tenancy is None else "1"  # the first team, or the first tenant
-        leader = newest.warden(group) if newest is not None else None
+        leader = newest.quota_leader(group) if newest is not None else None
         return self.labels.index(leader) if leader is not None else 0
 
     def do(self, words):
@@ -70,18 +70,18 @@
         """Returns what state controllers still hold; none may be left once all jobs have ended."""
         found = []
         for label, node in self.nodes.items():
-            book = node.book
-            if book is None:
+            job_store = node.job_store
+            if job_store is None:
                 continue
             kept = {
-                "adopting": book._adopting,
-                "inherited": book.reconciliation.inherited,
-                "left": book.quota.unread,
-                "jobs": book.jobs,
-                "perhaps started": book._perhaps_started,
+                "adopting": job_store._adopting,
+                "inherited": job_store.reconciliation.inherited,
+                "left": job_store.quota.unread,
+                "jobs": job_store.jobs,
+                "perhaps started": job_store._perhaps_started,
             }
             found += [f"{name} of {label}" for name, what in kept.items() if what]
-            found += [f"account {group} of {label}" for group in book.accounts.groups()]
+            found += [f"account {group} of {label}" for group in job_store.accounts.groups()]
         return found
 
 
@@ -157,7 +157,9 @@
     which, text = case
     world = LimitWorld(text).run()
     undone = [
-        user.id for user in world.users.values() if user.accepted and user.told not in ("done", "cancelled")
+        user.id
+        for user in world.users.values()
+        if user.accepted and user.last_state not in ("done", "cancelled")
     ]
     return which, world.check(), undone, world.left_behind()
 
--- a/tests/measure_flood.py
+++ b/tests/measure_flood.py
@@ -65,7 +65,7 @@
         print(
             f"{'beside the flood' if flood else 'alone'}: accepted within 1 s {accepted:.3f}, "
             f"{world.counter('tasks_preempted')} tasks preempted, {len(world.cloud.rented)} machines, "
-            f"rules broken: {world.broken or 'none'}"
+            f"rules broken: {world.violations or 'none'}"
         )
         yield p95(waits)
 
--- a/tests/mutation.py
+++ b/tests/mutation.py
@@ -26,8 +26,8 @@
     for seed in range(1, MAX_SEEDS + 1):
         with pytest.MonkeyPatch.context() as patch:
             mutate(patch)
-            noticed = World(f"{text}\nseed {seed}\n").run().broken
+            noticed = World(f"{text}\nseed {seed}\n").run().violations
         if noticed:
-            assert World(f"{text}\nseed {seed}\n").run().broken == []
+            assert World(f"{text}\nseed {seed}\n").run().violations == []
             return
     raise AssertionError(f"not noticed: {mutate.__doc__}")
--- a/tests/profile_size.py
+++ b/tests/profile_size.py
@@ -111,7 +111,7 @@
     print(
         f"{len(played.jobs)} jobs, {sum(job['legs'] for job in played.jobs.values())} tasks, "
         f"{len(played.completed)} completed, {len(played.cloud.rented)} machines, "
-        f"rules broken: {played.broken or 'none'}"
+        f"rules broken: {played.violations or 'none'}"
     )
     print(
         "share of a core, a controller:",
--- a/tests/term_history.py
+++ b/tests/term_history.py
@@ -1,7 +1,7 @@
 """Checks invariants over all terms and record formats that were in force during a simulated run."""
 
 from roadhead.jobs.job import KEY, NOBODY
-from roadhead.membership.gate import BEFORE, GATE
+from roadhead.membership.format_gate import FIRST_FORMAT, GATE
 from roadhead.membership.member import TERM
 from roadhead.membership.term import Term
 
@@ -20,7 +20,7 @@
         self._tokens = {}  # (shard, token) -> (leader, its incarnation)
         self._newest = {}  # shard -> token
         self._term = Term()
-        self._format = BEFORE
+        self._format = FIRST_FORMAT
         known_jobs = set()
         for event in world.state.log:
             key = event.get("put", "")
@@ -40,9 +40,11 @@
             if self._incarnations.setdefault(incarnation, (label, nonce)) != (label, nonce):
                 self.faults.append(f"incarnation {incarnation} was assigned twice")
         self._term = term
-        if term.shares is None:
+        if term.shard_map is None:
             return
-        for shard, (leader, token) in enumerate(zip(term.shares.homes, term.shares.tokens, strict=True)):
+        for shard, (leader, token) in enumerate(
+            zip(term.shard_map.leaders, term.shard_map.tokens, strict=True)
+        ):
             holder = (leader, term.incarnation(leader))
             if self._tokens.setdefault((shard, token), holder) != holder:
                 self.faults.append(f"token {token} of shard {shard} was assigned twice")
--- a/tests/test_cancel_and_move.py
+++ b/tests/test_cancel_and_move.py
@@ -7,9 +7,9 @@
 import pytest
 from test_safety import handed_over_taken_for_heard
 
-from roadhead.homes.relief import Relief
-from roadhead.jobs.book import CANCEL, Book
+from roadhead.jobs.job_store import CANCEL, JobStore
 from roadhead.local.world import World
+from roadhead.machines.relieved_controllers import RelievedControllers
 from roadhead.membership.member import TERM
 from roadhead.node import Node
 
@@ -42,13 +42,13 @@
 
 def marks_are_dropped_at_once(patch):
     """4: the owner drops a cancellation's mark as it hears of it, though tasks may be somewhere."""
-    real = Book.cancelled
+    real = JobStore.cancelled
 
     def cancelled(self, job_id, record=None):
         real(self, job_id, record)
-        self.recorder.drop(CANCEL + job_id)
+        self.recorder.schedule_delete(CANCEL + job_id)
 
-    patch.setattr(Book, "cancelled", cancelled)
+    patch.setattr(JobStore, "cancelled", cancelled)
 
 
 @pytest.mark.parametrize(
@@ -123,6 +123,6 @@
 @pytest.mark.parametrize("then", [(), HEIRS_RESTART], ids=["dropped", "heirs-restart"])
 def test_taking_relieved_controllers_for_aware_is_noticed(then, monkeypatch):
     """3: a relieved controller is taken for one that knows."""
-    monkeypatch.setattr(Relief, "labels", lambda self: [])
-    monkeypatch.setattr(Relief, "__bool__", lambda self: False)
-    assert any(ReliefWorld(seed, then).run().broken for seed in range(1, 13))
+    monkeypatch.setattr(RelievedControllers, "labels", lambda self: [])
+    monkeypatch.setattr(RelievedControllers, "__bool__", lambda self: False)
+    assert any(ReliefWorld(seed, then).run().violations for seed in range(1, 13))
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -9,22 +9,22 @@
 
 from roadhead.decision_log import DecisionLog
 from roadhead.dispatch.dispatcher import Dispatcher
-from roadhead.homes.home import Home
-from roadhead.homes.machine import Needs
-from roadhead.jobs.book import Book as RealBook
 from roadhead.jobs.job import Binding, Job
+from roadhead.jobs.job_store import JobStore as RealBook
 from roadhead.local.sim import Sim
 from roadhead.local.world import World
-from roadhead.membership.gate import Gate
-from roadhead.pipelines.line import Line
+from roadhead.machines.machine import TaskRequirements
+from roadhead.machines.shard_leader import ShardLeader
+from roadhead.membership.format_gate import FormatGate
+from roadhead.pipelines.dependency_queue import DependencyQueue
 from roadhead.telemetry import Counters
 from roadhead.tenants import ids, records
-from roadhead.tenants.desk import Desk
-from roadhead.tenants.teams import Sharing
+from roadhead.tenants.admission_controller import TenantAdmissionController
+from roadhead.tenants.teams import FairShare
 from roadhead.wire import frames, messages
 
 KIND = messages.MachineType("box", 4.0, 16.0, 0.2, ["a"], cache_gb=40.0, spot_price=0.05)
-NEEDS = Needs((1.0, 0.0, 3.0), "img", 1.0, 0.0, False)
+NEEDS = TaskRequirements((1.0, 0.0, 3.0), "img", 1.0, 0.0, False)
 
 
 class Term:
@@ -35,27 +35,27 @@
     def serves(self, _label, _incarnation):
         return True
 
-    def home(self, _machine):
+    def leader_of(self, _machine):
         return "here"
 
-    def share(self, _machine):
+    def shard_of(self, _machine):
         return 0
 
-    def place(self, _machine):
+    def leader_and_token(self, _machine):
         return "here", 7
 
-    def held(self, _label):
+    def shards_of(self, _label):
         return {0: 7}
 
 
 class Member:
-    label, incarnation, joined, term, gate = "here", 1, True, Term(), Gate(3, ["here"])
+    label, incarnation, joined, term, format_gate = "here", 1, True, Term(), FormatGate(3, ["here"])
     revision, term_at = 1, 0.0
 
-    def lapsed(self):
+    def lease_may_have_expired(self):
         return False
 
-    def takes_on(self, _share):
+    def may_take_on(self, _share):
         return True
 
 
@@ -104,7 +104,7 @@
 def home_of(machines, tasks):
     """A home of that many machines, each with that many running tasks of one CPU."""
     counters = Counters()
-    home = Home(
+    home = ShardLeader(
         Sim(1),
         "here",
         Member(),
@@ -117,14 +117,14 @@
         counters,
         DecisionLog(lambda: 0.0, counters),
     )
-    home.known.types = {"box": KIND}
+    home.registry.types = {"box": KIND}
     home.begin(True)
-    home.rooms.window_s = 12.0
+    home.capacity_granter.window_s = 12.0
     for number in range(machines):
-        machine = home.known.take_on(f"n-{number:06d}", "10.1.0.1:9000", "box", "a", True, 0.0)
-        home.hearing.answer(report(number, tasks))
+        machine = home.registry.register(f"n-{number:06d}", "10.1.0.1:9000", "box", "a", True, 0.0)
+        home.report_processor.answer(report(number, tasks))
         for task in list(machine.tasks.values()):
-            machine.learn(task, NEEDS)
+            machine.set_requirements(task, NEEDS)
     return home
 
 
@@ -142,8 +142,8 @@
 @pytest.mark.parametrize("tasks", [4, 0])
 def test_a_demand_costs_at_most_in_proportion_to_machines(tasks):
     """Full fleets cost a glance a machine; parked room is granted until the demand is met."""
-    small = calls(home_of(100, tasks).rooms.on_demand, "there", demand(5))
-    large = calls(home_of(400, tasks).rooms.on_demand, "there", demand(5))
+    small = calls(home_of(100, tasks).capacity_granter.on_demand, "there", demand(5))
+    large = calls(home_of(400, tasks).capacity_granter.on_demand, "there", demand(5))
     assert small > 0
     assert large <= 4.6 * small
 
@@ -151,26 +151,26 @@
 def test_a_demand_met_by_few_machines_does_not_ask_the_rest():
     one = frames.Demand(0, [(2, 1.0, 0.0, 3.0, 4, True, "", [], 10.0, "c", 50.0, True, 1.0)], [])
     home = home_of(200, 0)
-    home.rooms.on_demand("there", one)
-    assert sum(machine.holder is not None for machine in home.machines.values()) == 1
+    home.capacity_granter.on_demand("there", one)
+    assert sum(machine.grant_holder is not None for machine in home.machines.values()) == 1
 
 
 def test_a_report_with_nothing_new_costs_the_same_for_any_number_of_tasks():
     few, many = home_of(1, 4), home_of(1, 64)
-    first = calls(few.hearing.answer, report(0, 4, sequence=2))
-    second = calls(many.hearing.answer, report(0, 64, sequence=2))
+    first = calls(few.report_processor.answer, report(0, 4, sequence=2))
+    second = calls(many.report_processor.answer, report(0, 64, sequence=2))
     assert 0 < second <= first + 2
 
 
 def test_a_report_costs_the_same_in_any_fleet():
-    first = calls(home_of(10, 4).hearing.answer, report(0, 3, sequence=2))
-    second = calls(home_of(400, 4).hearing.answer, report(0, 3, sequence=2))
+    first = calls(home_of(10, 4).report_processor.answer, report(0, 3, sequence=2))
+    second = calls(home_of(400, 4).report_processor.answer, report(0, 3, sequence=2))
     assert 0 < second <= first + 2
 
 
 def listed(machines):
     return [
-        messages.Listed(f"n-{number:06d}", "10.1.0.1:9000", "box", "a", True, "running", 60.0)
+        messages.ListedMachine(f"n-{number:06d}", "10.1.0.1:9000", "box", "a", True, "running", 60.0)
         for number in range(machines)
     ]
 
@@ -179,10 +179,10 @@
     """Calls of a report, a list, a beat, and a look whether all is known, at that many machines."""
     home = home_of(machines, 0)
     return (
-        calls(home.hearing.answer, report(0, 0, sequence=2)),
-        calls(home.covered, listed(machines), 100.0),
-        calls(home.tick, 0.0) + calls(home.news),
-        calls(home.reconciliation.clean),
+        calls(home.report_processor.answer, report(0, 0, sequence=2)),
+        calls(home.apply_machine_list, listed(machines), 100.0),
+        calls(home.tick, 0.0) + calls(home.machine_counts),
+        calls(home.reconciliation.is_reconciled),
     )
 
 
@@ -198,20 +198,22 @@
 def test_a_sync_costs_what_it_names():
     """Every end of a controller brings one for each few jobs that were taken over."""
     jobs = [f"req-{number}" for number in range(20)]
-    frame = frames.Sync(1, 1, jobs, [(f"n-{number:06d}", f"req-{number}", 0, 1) for number in range(20)])
+    frame = frames.ReconcileRequest(
+        1, 1, jobs, [(f"n-{number:06d}", f"req-{number}", 0, 1) for number in range(20)]
+    )
     few, many = home_of(100, 4), home_of(400, 4)
     assert (
         0
-        < calls(many.commanding.on_sync, "there", 1, frame)
-        <= (calls(few.commanding.on_sync, "there", 1, frame) + 2)
+        < calls(many.task_commands.on_sync, "there", 1, frame)
+        <= (calls(few.task_commands.on_sync, "there", 1, frame) + 2)
     )
     few, many = home_of(100, 4), home_of(400, 4)
     assert (
         0
-        < calls(partial(many.commanding.spec, over=False), "req-7", NEEDS)
-        <= (calls(partial(few.commanding.spec, over=False), "req-7", NEEDS) + 2)
+        < calls(partial(many.task_commands.set_job_requirements, over=False), "req-7", NEEDS)
+        <= (calls(partial(few.task_commands.set_job_requirements, over=False), "req-7", NEEDS) + 2)
     )
-    assert 0 < calls(many.commanding.cancel, ["req-7"]) <= calls(few.commanding.cancel, ["req-7"]) + 2
+    assert 0 < calls(many.task_commands.cancel, ["req-7"]) <= calls(few.task_commands.cancel, ["req-7"]) + 2
 
 
 def test_hearing_all_machines_again_costs_in_proportion_while_syncs_wait():
@@ -220,14 +222,14 @@
     def again(machines):
         home = home_of(machines, 0)
         for machine in home.machines.values():
-            machine.confirmed = 0
-        home.reconciliation.fence([0], True)
-        home.covered(listed(machines), 7.0)  # late enough, and they were up before
-        home.commanding.on_sync("there", 1, frames.Sync(1, 1, [], []))
-        assert not home.reconciliation.clean()
+            machine.confirmed_token = 0
+        home.reconciliation.fence_shards([0], True)
+        home.apply_machine_list(listed(machines), 7.0)  # late enough, and they were up before
+        home.task_commands.on_sync("there", 1, frames.ReconcileRequest(1, 1, [], []))
+        assert not home.reconciliation.is_reconciled()
         reports = [report(number, 0, sequence=2) for number in range(machines)]
-        total = calls(lambda: [home.hearing.answer(heard) for heard in reports])
-        assert home.reconciliation.clean()
+        total = calls(lambda: [home.report_processor.answer(heard) for heard in reports])
+        assert home.reconciliation.is_reconciled()
         return total
 
     assert 0 < again(400) <= 4.2 * again(100)
@@ -242,19 +244,19 @@
         return False
 
 
-class Book:
+class JobStore:
     def __init__(self, jobs):
         self.quota = Unlimited()
         self.jobs = {job.id: job for job in jobs}
         self.version = 1
-        self.arrived = []
-        self.seen = {}
+        self.new_jobs = []
+        self.jobs_seen = {}
 
-    def coming(self, _on_word):
+    def arriving_jobs(self, _on_word):
         return []
 
     def bind(self, job, machine, zone):
-        index = job.free.pop()
+        index = job.unstarted.pop()
         job.bound[index] = Binding(machine, zone, 1, "launching", 0.0)
         return index, 1
 
@@ -290,7 +292,7 @@
         sim,
         "here",
         Member(),
-        Book([job(number) for number in range(jobs)]),
+        JobStore([job(number) for number in range(jobs)]),
         {"c": ([60.0], [], [])},
         random.Random(1),
         lambda _label, _frame: True,
@@ -320,18 +322,18 @@
 
     def __init__(self, tenants, jobs):
         self.loop = Sim(1)
-        self.desk = Desk(self.loop, Hosted(), lambda: 1e9)
+        self.tenant_admission = TenantAdmissionController(self.loop, Hosted(), lambda: 1e9)
         for number in range(1, tenants + 1):
             record = records.Tenant(
                 number,
                 f"tenant-{number}",
                 teams=[records.Team(f"team{team}", cpus=1.0) for team in range(10)],
             )
-            self.desk.table.take(records.key_of(number), record.to_record(), number)
+            self.tenant_admission.table.take(records.tenant_key(number), record.to_record(), number)
         self.member = Member()
         self.member.term = HostedTerm()
         self.member.watched_at = 0.0
-        self.book = RealBook(
+        self.job_store = RealBook(
             self.loop,
             self.member,
             lambda *_: None,
@@ -341,14 +343,14 @@
             lambda: 1e9,
             12.0,
             None,
-            self.desk.teams,
+            self.tenant_admission.teams,
             None,
             None,
-            lambda book: Line(
+            lambda job_store: DependencyQueue(
                 self.loop,
                 self.member,
                 None,
-                book,
+                job_store,
                 lambda _label, _frame: True,
                 {},
                 lambda: 1e9,
@@ -359,13 +361,15 @@
             ),
             None,
         )
-        self.book.quota.on_term(None, self.member.term)
-        self.book.quota.scanned = 1
-        self.desk._node = self
+        self.job_store.quota.on_term(None, self.member.term)
+        self.job_store.quota.scanned = 1
+        self.tenant_admission._node = self
         for number in range(jobs):
             job = Job(self.spec(number), ("here", 1), 0.0)
-            self.book._begin(job)
-        self.sharing = Sharing(self.desk.teams, self.book.accounts, lambda: (400.0, 0.0, 1600.0), 1e6, 1e7)
+            self.job_store._begin(job)
+        self.fair_share = FairShare(
+            self.tenant_admission.teams, self.job_store.accounts, lambda: (400.0, 0.0, 1600.0), 1e6, 1e7
+        )
 
     def spec(self, number):
         return messages.JobSpec(
@@ -390,46 +394,64 @@
 
 
 class HostedTerm(Term):
-    wardens = ("here",) * 24
+    quota_leaders = ("here",) * 24
     incarnation = staticmethod(lambda _label: 1)
 
-    def slot(self, group):
+    def partition_of(self, group):
         return int(group) % 24
 
-    def warden(self, _group):
+    def quota_leader(self, _group):
         return "here"
 
 
 def test_idle_tenants_cost_nothing_where_jobs_are_taken_and_placed():
     few, many = HostedNode(10, 200), HostedNode(1000, 200)
     for node in (few, many):
-        node.jobs = list(node.book.jobs.values())
+        node.jobs = list(node.job_store.jobs.values())
     spec = few.spec(900_000)
-    assert 0 < calls(many.desk.refusal, spec, 10) <= calls(few.desk.refusal, spec, 10) + 2
-    assert 0 < calls(many.sharing.arrange, many.jobs) <= 1.05 * calls(few.sharing.arrange, few.jobs)
-    assert calls(many.book.quota.headroom, "1/team3") <= calls(few.book.quota.headroom, "1/team3") + 2
+    assert (
+        0
+        < calls(many.tenant_admission.refusal, spec, 10)
+        <= calls(few.tenant_admission.refusal, spec, 10) + 2
+    )
+    assert (
+        0
+        < calls(many.fair_share.assign_positions, many.jobs)
+        <= 1.05 * calls(few.fair_share.assign_positions, few.jobs)
+    )
+    assert (
+        calls(many.job_store.quota.headroom, "1/team3") <= calls(few.job_store.quota.headroom, "1/team3") + 2
+    )
     record = records.Tenant(7, "tenant-7", version=2, teams=[records.Team("team1")]).to_record()
     few.dispatcher = many.dispatcher = Changed()
     for node in (few, many):
-        node.desk._removal = Changed()
-    change = (records.key_of(7), record, 10**6)
+        node.tenant_admission._removal = Changed()
+    change = (records.tenant_key(7), record, 10**6)
     # The persistent map is a tree: the depth of its path is all that grows.
-    assert calls(many.desk.table.take, *change) <= calls(few.desk.table.take, *change) + 8
+    assert (
+        calls(many.tenant_admission.table.take, *change)
+        <= calls(few.tenant_admission.table.take, *change) + 8
+    )
 
 
 def test_the_order_costs_the_same_however_many_jobs_wait():
     def ordered(node):
-        return calls(lambda: node.sharing.arrange(list(node.sharing.candidates())))
+        return calls(lambda: node.fair_share.assign_positions(list(node.fair_share.candidates())))
 
     few, many = HostedNode(10, 3000), HostedNode(10, 12_000)
     assert 0 < ordered(many) <= 1.05 * ordered(few)
     spec = few.spec(900_000)
-    few.desk.refusal(spec, 10), many.desk.refusal(spec, 10)  # the tasks were counted lately
-    assert 0 < calls(many.desk.refusal, spec, 10) <= calls(few.desk.refusal, spec, 10) + 2
+    # the tasks were counted lately
+    few.tenant_admission.refusal(spec, 10), many.tenant_admission.refusal(spec, 10)
+    assert (
+        0
+        < calls(many.tenant_admission.refusal, spec, 10)
+        <= calls(few.tenant_admission.refusal, spec, 10) + 2
+    )
 
 
 class Changed:
-    def changed(self):
+    def schedule_placement(self):
         pass
 
     def note(self, _tenant):
@@ -444,7 +466,7 @@
         node = HostedNode(tenants, jobs)
         size = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
-        assert len(node.book.jobs) == jobs
+        assert len(node.job_store.jobs) == jobs
         return size
 
     base, tenants, jobs = grown(10, 10), grown(510, 10), grown(10, 2010)
@@ -459,7 +481,7 @@
         world.state.put(f"f/req-{500000 + number}", {"s": "done", "n": 1, "d": 1})
     world.sim.call_at(29.0, setattr, world.state, "listed", 0)
     world.run()
-    assert not world.broken
+    assert not world.violations
     return world.state.listed
 
 
@@ -476,12 +498,12 @@
     )
     for number in range(10, 10 + tenants):
         record = records.Tenant(number, f"tenant-{number}", teams=[records.Team("team")]).to_record()
-        world.state.put(records.key_of(number), record)
+        world.state.put(records.tenant_key(number), record)
     counted = []
     for at in (29.0, 50.0):
         world.sim.call_at(at, lambda: counted.append(world.state.requests))
     world.run()
-    assert not world.broken and len(world.running) >= 4
+    assert not world.violations and len(world.running) >= 4
     return counted[1] - counted[0]
 
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -7,11 +7,11 @@
 import test_safety
 
 from roadhead.dispatch.dispatcher import Dispatcher
-from roadhead.homes.commanding import Commanding
-from roadhead.homes.hearing import Hearing
-from roadhead.homes.machine import LAUNCHING, Task
-from roadhead.jobs.book import Book
+from roadhead.jobs.job_store import JobStore
 from roadhead.local.world import World
+from roadhead.machines.machine import LAUNCHING, Task
+from roadhead.machines.report_processor import ReportProcessor
+from roadhead.machines.task_commands import TaskCommands
 
 CASES_MOST = 40  # played for a mutation that is not noticed
 SAMPLES = 4  # of each combination; `tests/fault_combinations.py` plays all
@@ -68,24 +68,24 @@
 def test_starts_without_a_grant_over_slow_links_are_noticed():
     """A home that starts whatever it is asked to gives machines more than they have room for."""
 
-    def start(self, label, incarnation, frame, machine, needs, index, attempt):
+    def start(self, label, incarnation, frame, machine, requirements, index, attempt):
         key = (frame.job, index, attempt)
         if machine is None or key in machine.tasks:
             return False
         task = Task(*key, LAUNCHING, (label, incarnation))
-        task.needs = needs
-        machine.put(task)
+        task.requirements = requirements
+        machine.add_task(task)
         return True
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Commanding, "_start", start)
+        patch.setattr(TaskCommands, "_start", start)
         worlds = map(over_slow_links, range(1, 11))
         assert any("found no room" in fault for world in worlds for fault in world.check())
 
 
 def started_before_written(patch):
     """A job's tasks start before its record is written."""
-    real_create, real_created = Book.create, Book._created
+    real_create, real_created = JobStore.create, JobStore._created
 
     def created(self, job):
         if job.id not in self.jobs:
@@ -97,30 +97,30 @@
             self._created(self._new[spec.id])
         return pending
 
-    patch.setattr(Book, "_created", created)
-    patch.setattr(Book, "create", create)
+    patch.setattr(JobStore, "_created", created)
+    patch.setattr(JobStore, "create", create)
 
 
 def old_reports_count(patch):
     """A report counts although a newer one of the same machine was heard."""
-    real = Hearing.observe
+    real = ReportProcessor.observe
 
     def observe(self, machine, report):
         machine.session, machine.sequence = min(machine.session, report.session), -1
         return real(self, machine, report)
 
-    patch.setattr(Hearing, "observe", observe)
+    patch.setattr(ReportProcessor, "observe", observe)
 
 
 def any_token_confirms(patch):
     """A report under an older fencing token tells a successor all that runs on the machine."""
-    real = Hearing.observe
+    real = ReportProcessor.observe
 
     def observe(self, machine, report):
         report.token = machine.token
         return real(self, machine, report)
 
-    patch.setattr(Hearing, "observe", observe)
+    patch.setattr(ReportProcessor, "observe", observe)
 
 
 def only_running_tasks_have_a_zone(patch):
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -3,16 +3,16 @@
 import pytest
 
 from roadhead.api import server
-from roadhead.local.histories import Answer, History, Question, Rule
+from roadhead.local.histories import Answer, AnswerHistory, RequestKind, Rule
 from roadhead.local.world import World
 
-SUBMIT, POLL, CANCEL = Question.SUBMIT, Question.POLL, Question.CANCEL
+SUBMIT, POLL, CANCEL = RequestKind.SUBMIT, RequestKind.POLL, RequestKind.CANCEL
 ACCEPTED = (SUBMIT, 0.0, 1.0, 201, "pending")
 
 
 def broken(*answers, job="j", history=None):
     """The rules that such answers break: (question, asked at, answered at, status, state)."""
-    history = history or History()
+    history = history or AnswerHistory()
     history.submitted(job, 0.0)
     return [
         fault.rule
@@ -82,13 +82,13 @@
 
 
 def test_what_nobody_submitted_is_invented():
-    assert [fault.rule for fault in History().add(Answer("j", POLL, "one", 0, 1, 200, "pending"))] == [
+    assert [fault.rule for fault in AnswerHistory().add(Answer("j", POLL, "one", 0, 1, 200, "pending"))] == [
         Rule.INVENTED
     ]
 
 
 def test_jobs_are_apart_and_answers_come_in_their_order():
-    history = History()
+    history = AnswerHistory()
     assert broken(ACCEPTED, (POLL, 2, 3, 200, "done"), history=history) == []
     assert broken((SUBMIT, 3, 4, 201, "pending"), (POLL, 4, 5, 503), job="other", history=history) == []
     assert history.unavailable(POLL) == 1 and history.unavailable(SUBMIT) == 0
@@ -97,7 +97,7 @@
 
 
 def test_answers_that_overlap_are_counted():
-    history = History()
+    history = AnswerHistory()
     assert broken(*GOOD["running asked before the cancellation was told"], history=history) == []
     assert history.overlaps == 1
 
@@ -112,7 +112,7 @@
 
 
 def test_a_controller_that_answers_from_memory_is_noticed(monkeypatch):
-    assert World(SCENARIO).run().broken == []
+    assert World(SCENARIO).run().violations == []
     real, first = server.Api._poll, {}
 
     async def from_memory(api, job_id):
@@ -120,4 +120,4 @@
         return first.setdefault((api, job_id), reply) if reply[0] == 200 else reply
 
     monkeypatch.setattr(server.Api, "_poll", from_memory)
-    assert any("went_back" in fault for fault in World(SCENARIO).run().broken)
+    assert any("went_back" in fault for fault in World(SCENARIO).run().violations)
--- a/tests/test_limited_demand.py
+++ b/tests/test_limited_demand.py
@@ -5,9 +5,16 @@
 import pytest
 from mutation import text_of
 
-from roadhead.dispatch.headroom import Part, SharedHeadroom
-from roadhead.fleet.limited import JustUp, Mark, SteadyRoom, marked, returnable, unmarked
-from roadhead.fleet.plan import Shape, Want, plan
+from roadhead.dispatch.headroom import SharedHeadroom, WaitingTasks
+from roadhead.fleet.provisioning import InstanceOffer, ResourceRequest, plan_machines
+from roadhead.fleet.quota_limits import (
+    QuotaMark,
+    RecentlyBooted,
+    SustainedHeadroom,
+    decode_urgency,
+    encode_urgency,
+    returnable_count,
+)
 from roadhead.local.world import World
 
 SEEDS = 8
@@ -15,10 +22,10 @@
 
 
 class Quota:
-    """Teams `crew` and `night` under one limit, and each under its own; `free` has none."""
+    """Teams `crew` and `night` under one limit, and each under its own; `unstarted` has none."""
 
     def __init__(self, crew, night, both, sure=True):
-        self._rooms = {
+        self._capacity_granter = {
             "crew": {"crew": crew, "both": both},
             "night": {"night": night, "both": both},
             "away": None,
@@ -32,7 +39,7 @@
         return self._sure
 
     def level_rooms(self, team):
-        return self._rooms[team]
+        return self._capacity_granter[team]
 
 
 class Job(SimpleNamespace):
@@ -41,8 +48,8 @@
 
 def part(team, count, cpus=1.0, gpus=0.0, gang=False):
     spec = SimpleNamespace(team=team, cpus=cpus, gpus=gpus)
-    job = Job(spec=spec, need=(cpus, gpus, 1.0), gang=gang, free=range(count))
-    return Part(job, count, 2, 0.0, True)
+    job = Job(spec=spec, resources=(cpus, gpus, 1.0), gang=gang, unstarted=range(count))
+    return WaitingTasks(job, count, 2, 0.0, True)
 
 
 def shared(quota, *parts):
@@ -84,7 +91,7 @@
 
 
 def row(mark, count, cpus=1.0):
-    return (marked(2, mark), cpus, 0.0, 1.0, count, True, "", [], 9.0, "work", 50.0, True, 0.0)
+    return (encode_urgency(2, mark), cpus, 0.0, 1.0, count, True, "", [], 9.0, "work", 50.0, True, 0.0)
 
 
 def counts(steady, now, *rows):
@@ -93,28 +100,31 @@
 
 def test_rented_is_for_room_that_stays():
     """At the first word all of it counts; then the least within the window; what is pending is no room."""
-    steady = SteadyRoom(6.0)
-    beyond = row(Mark.BEYOND, 99)
-    assert counts(steady, 0.0, row(Mark.WITHIN, 30), beyond) == [("WITHIN", 30), ("BEYOND", 99)]
-    assert counts(steady, 2.0, row(Mark.WITHIN, 4), beyond) == [("WITHIN", 4), ("BEYOND", 99)]
-    assert counts(steady, 4.0, row(Mark.WITHIN, 3), row(Mark.WITHIN, 9)) == [("WITHIN", 3), ("WITHIN", 1)]
-    assert counts(steady, 9.0, row(Mark.WITHIN, 30), beyond) == [("WITHIN", 12), ("BEYOND", 99)]
-    assert counts(steady, 10.0, row(Mark.PENDING, 30)) == []
-    assert counts(steady, 12.0, row(Mark.WITHIN, 30), beyond) == [("BEYOND", 99)]
-    assert counts(steady, 13.0, row(Mark.PLAIN, 30)) == [("PLAIN", 30)]
+    steady = SustainedHeadroom(6.0)
+    beyond = row(QuotaMark.BEYOND, 99)
+    assert counts(steady, 0.0, row(QuotaMark.WITHIN, 30), beyond) == [("WITHIN", 30), ("BEYOND", 99)]
+    assert counts(steady, 2.0, row(QuotaMark.WITHIN, 4), beyond) == [("WITHIN", 4), ("BEYOND", 99)]
+    assert counts(steady, 4.0, row(QuotaMark.WITHIN, 3), row(QuotaMark.WITHIN, 9)) == [
+        ("WITHIN", 3),
+        ("WITHIN", 1),
+    ]
+    assert counts(steady, 9.0, row(QuotaMark.WITHIN, 30), beyond) == [("WITHIN", 12), ("BEYOND", 99)]
+    assert counts(steady, 10.0, row(QuotaMark.PENDING, 30)) == []
+    assert counts(steady, 12.0, row(QuotaMark.WITHIN, 30), beyond) == [("BEYOND", 99)]
+    assert counts(steady, 13.0, row(QuotaMark.PLAIN, 30)) == [("PLAIN", 30)]
 
 
 def test_marks_travel_in_the_urgency():
-    assert [unmarked(marked(rank, mark)) for rank in (0, 4, 9) for mark in Mark] == [
-        (rank, mark) for rank in (0, 4, 9) for mark in Mark
+    assert [decode_urgency(encode_urgency(rank, mark)) for rank in (0, 4, 9) for mark in QuotaMark] == [
+        (rank, mark) for rank in (0, 4, 9) for mark in QuotaMark
     ]
 
 
 def rented(wants, idle=0, coming=0, fresh=0, up=0):
     kind = SimpleNamespace(name="box", cpus=4.0, gpus=0.0, memory=16.0, price=0.2, spot_price=0.05)
-    orders = plan(
+    orders = plan_machines(
         wants,
-        [Shape(kind, "north", True)],
+        [InstanceOffer(kind, "north", True)],
         {BOX: up},
         {BOX: idle},
         float(up - idle),
@@ -128,29 +138,29 @@
 
 
 def want(mark, count, rank=2):
-    return Want(rank, 1.0, 0.0, 1.0, count, True, "", [], 10.0, 100.0, mark)
+    return ResourceRequest(rank, 1.0, 0.0, 1.0, count, True, "", [], 10.0, 100.0, mark)
 
 
 def test_what_waits_beyond_the_limit_hastens_but_is_not_rented_for():
     """Within the limit as much is rented as all that waits needs in time; and it delays nobody else's."""
-    assert rented([want(Mark.WITHIN, 40)]) == 1
-    assert rented([want(Mark.WITHIN, 40), want(Mark.BEYOND, 160)]) == 5
-    assert rented([want(Mark.WITHIN, 40), want(Mark.BEYOND, 10000)]) == 10
-    assert rented([want(Mark.BEYOND, 10000), want(Mark.PLAIN, 40, rank=3)]) == 1
+    assert rented([want(QuotaMark.WITHIN, 40)]) == 1
+    assert rented([want(QuotaMark.WITHIN, 40), want(QuotaMark.BEYOND, 160)]) == 5
+    assert rented([want(QuotaMark.WITHIN, 40), want(QuotaMark.BEYOND, 10000)]) == 10
+    assert rented([want(QuotaMark.BEYOND, 10000), want(QuotaMark.PLAIN, 40, rank=3)]) == 1
 
 
 @pytest.mark.parametrize("there", [{"coming": 4}, {"fresh": 4, "up": 4}, {"idle": 4, "up": 4}])
 def test_room_that_is_there_or_on_its_way_is_not_rented_again(there):
-    assert rented([want(Mark.WITHIN, 40), want(Mark.BEYOND, 10000)], **there) == 6
+    assert rented([want(QuotaMark.WITHIN, 40), want(QuotaMark.BEYOND, 10000)], **there) == 6
 
 
 def test_machines_are_kept_for_what_is_pending():
     types = {"box": SimpleNamespace(cpus=4.0)}
     fleet = {"ctl-0": [("box", "north", True, 9, 6, 24.0, 0.0, 96.0)]}
-    assert returnable(4, {"ctl-0": [row(Mark.BEYOND, 50)]}, fleet, types) == 4
-    assert returnable(4, {"ctl-0": [row(Mark.PENDING, 12)]}, fleet, types) == 2
-    assert returnable(4, {"ctl-0": [row(Mark.PENDING, 50)]}, fleet, types) == 0
-    assert returnable(4, {"ctl-0": [row(Mark.PENDING, 50)]}, {}, types) == 0
+    assert returnable_count(4, {"ctl-0": [row(QuotaMark.BEYOND, 50)]}, fleet, types) == 4
+    assert returnable_count(4, {"ctl-0": [row(QuotaMark.PENDING, 12)]}, fleet, types) == 2
+    assert returnable_count(4, {"ctl-0": [row(QuotaMark.PENDING, 50)]}, fleet, types) == 0
+    assert returnable_count(4, {"ctl-0": [row(QuotaMark.PENDING, 50)]}, {}, types) == 0
 
 
 def limits_unheeded(patch):
@@ -172,17 +182,17 @@
 
 def any_room_counts(patch):
     """Room within a limit is rented for at its first sight, also between two tasks."""
-    patch.setattr(SteadyRoom, "_least", lambda self, label, cpus, now: cpus)
+    patch.setattr(SustainedHeadroom, "_least", lambda self, label, cpus, now: cpus)
 
 
 def boots_forgotten(patch):
     """Machines count for nothing from when they are up until their homes have heard them."""
-    patch.setattr(JustUp, "counts", lambda self, now: {})
+    patch.setattr(RecentlyBooted, "counts", lambda self, now: {})
 
 
 def all_idle_returned(patch):
     """Machines idle while their team's limit is being counted anew are returned."""
-    patch.setattr("roadhead.fleet.fleet.returnable", lambda idle, told, fleet, types: idle)
+    patch.setattr("roadhead.fleet.fleet.returnable_count", lambda idle, told, fleet, types: idle)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_limits_and_failover.py
+++ b/tests/test_limits_and_failover.py
@@ -6,14 +6,14 @@
 from limit_failovers import COURSES, combinations, hosted_combinations, partitioned_combinations, played
 from mutation import assert_noticed
 
-from roadhead.jobs.book import Book
 from roadhead.jobs.job import KEY, NOBODY
+from roadhead.jobs.job_store import JobStore
 from roadhead.jobs.quota import QuotaPartitions
 from roadhead.jobs.teams import Accounts
-from roadhead.local.user import Reply, User
+from roadhead.local.user import EmulatedUser, Reply
 from roadhead.local.world import World
 from roadhead.membership.term import Term
-from roadhead.pipelines.line import Line
+from roadhead.pipelines.dependency_queue import DependencyQueue
 
 MEMBERS = {"a": (1, 1, ""), "b": (2, 2, ""), "c": (3, 3, "")}
 
@@ -32,15 +32,15 @@
 
 def lets_go_what_is_cancelled(patch):
     """Tasks of a cancelled job count for nothing at once, whatever their machines still do."""
-    real = Book.cancelled
+    real = JobStore.cancelled
 
     def cancelled(self, job_id, record=None):
         real(self, job_id, record)
         job = self.jobs.get(job_id)
         for binding in job.bound.values() if job is not None else ():
-            self.accounts.let_go(job, binding)
+            self.accounts.release_held(job, binding)
 
-    patch.setattr(Book, "cancelled", cancelled)
+    patch.setattr(JobStore, "cancelled", cancelled)
 
 
 def second_heir_counts_nothing(patch):
@@ -63,7 +63,7 @@
 
 def starts_before_all_homes_told(patch):
     """An heir starts new work before every home has told of what it inherited."""
-    patch.setattr(Accounts, "unsure", lambda self, job: None)
+    patch.setattr(Accounts, "unreconciled", lambda self, job: None)
 
 
 @pytest.mark.parametrize(
@@ -104,18 +104,18 @@
 def test_partitions_of_the_settings_teams_are_led_by_all_controllers(partitions, leaders):
     world = World(f"partitions {partitions}\n{SIX_TEAMS}").run()
     assert world.check() == []
-    assert all(user.told == "done" for user in world.users.values())
+    assert all(user.last_state == "done" for user in world.users.values())
     records = [event["data"] for event in world.state.log if event.get("put", "").startswith(KEY)]
     owners = {tuple(record["o"]) for record in records} - {NOBODY}
     assert len(owners) == leaders
-    assert len(set(world.nodes[0].member.term.wardens)) == leaders
+    assert len(set(world.nodes[0].member.term.quota_leaders)) == leaders
 
 
 def test_partitions_are_taken_over_and_handed_on_while_teams_are_at_their_limit():
     text = f"partitions 12\n{SIX_TEAMS}at 15 crash 1 5\nat 24 crash 0 0.2\nat 30 leave 2 4\n"
     world = World(text.replace("until 60", "until 120")).run()
     assert world.check() == []
-    assert all(user.told == "done" for user in world.users.values())
+    assert all(user.last_state == "done" for user in world.users.values())
 
 
 def test_a_job_cancelled_before_it_is_taken_over_is_let_go():
@@ -142,41 +142,41 @@
     old, new = (Term(number, 9, MEMBERS, (leader,)) for number, leader in (old, new))
     quota.on_term(old, new)
     assert quota.unread == unread
-    assert (quota.held_since[0] == new.number) == (bool(unread) or old.wardens != new.wardens)
+    assert (quota.held_since[0] == new.number) == (bool(unread) or old.quota_leaders != new.quota_leaders)
 
 
 def counts_nothing_that_waits(patch):
     """Work that a quota leader let go before it ended counts for nothing until its heir lets it go too."""
-    patch.setattr(Accounts, "unsure", lambda self, job: None)
+    patch.setattr(Accounts, "unreconciled", lambda self, job: None)
 
 
 def asks_for_nothing_cancelled(patch):
     """A job that waits at an heir is cancelled, and the homes are not asked for its tasks."""
-    patch.setattr(Book, "_ask_for_tasks", lambda self, job: self._perhaps_started.pop(job, None))
-    patch.setattr(Accounts, "unsure", lambda self, job: None)
+    patch.setattr(JobStore, "_ask_for_tasks", lambda self, job: self._perhaps_started.pop(job, None))
+    patch.setattr(Accounts, "unreconciled", lambda self, job: None)
 
 
 def reads_upstream_late(patch, seconds):
     """What inherited jobs need is read that much later, as from a slow state service."""
-    real = Line._look
+    real = DependencyQueue._look
 
     async def look(self, name):
         await self._loop.sleep(seconds)
         await real(self, name)
 
-    patch.setattr(Line, "_look", look)
+    patch.setattr(DependencyQueue, "_look", look)
 
 
 def nobody_asks(patch, begin, end):
     """Users ask nothing meanwhile: a question about a job would show the controller what that needs."""
-    real = User._ask
+    real = EmulatedUser._ask
 
     async def ask(self, method, *args):
         if method == "GET" and begin < self.sim.time < end:
             return Reply(0, None, self.sim.time)
         return await real(self, method, *args)
 
-    patch.setattr(User, "_ask", ask)
+    patch.setattr(EmulatedUser, "_ask", ask)
 
 
 LET_GO_BEFORE = """
@@ -207,10 +207,10 @@
     for seed in range(1, 21):
         with pytest.MonkeyPatch.context() as patch:
             mutation(patch)
-            noticed = World(f"{text}until 260\nseed {seed}\n").run().broken
+            noticed = World(f"{text}until 260\nseed {seed}\n").run().violations
         if any("quota" in broken for broken in noticed):
             world = World(f"{text}until 900\nseed {seed}\nexpect rules\n").run()
             assert world.check() == []
-            assert all(user.told in ("done", "cancelled") for user in world.users.values())
+            assert all(user.last_state in ("done", "cancelled") for user in world.users.values())
             return
     raise AssertionError(f"not noticed: {mutation.__doc__}")
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -12,18 +12,18 @@
 from roadhead.api.answers import Answer
 from roadhead.api.server import Api
 from roadhead.gateway.tenants_api import TenantsApi, authenticate
-from roadhead.jobs.book import Book
-from roadhead.jobs.job import KEY, SHELF
-from roadhead.jobs.records import Shelf
-from roadhead.jobs.transactions import Entry
-from roadhead.local.state_service import StateService
-from roadhead.membership.gate import GATE
+from roadhead.jobs.job import ARCHIVE, KEY
+from roadhead.jobs.job_store import JobStore
+from roadhead.jobs.records import RecordArchiver
+from roadhead.jobs.transactions import RecordWrite
+from roadhead.local.state_service import StateServiceEmulator
+from roadhead.membership.format_gate import GATE
 from roadhead.membership.member import MEMBER, TERM
 from roadhead.membership.term import Term
 from roadhead.node import Node
-from roadhead.pipelines import parts
+from roadhead.pipelines import upstream_parts
 from roadhead.runtime.loop import Future
-from roadhead.state.client import StateClient, Unavailable, Unsure
+from roadhead.state.client import StateClient, UnavailableError, UnknownOutcomeError
 from roadhead.wire import messages
 
 FATES = (
@@ -34,7 +34,7 @@
 )
 
 
-def faults_of(kind):
+def unmet_expectations(kind):
     """A sample of `write_faults.cases()`: each fate, each sender twice."""
     senders = itertools.cycle(Sender)
     for fate in FATES:
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_write_whose_answer_is_lost_or_that_comes_late(kind):
-    outcomes = {fault: play(fault) for fault in faults_of(kind)}
+    outcomes = {fault: play(fault) for fault in unmet_expectations(kind)}
     assert {str(fault): outcome.faults for fault, outcome in outcomes.items() if outcome.faults} == {}
     assert sum(bool(outcome.struck) for outcome in outcomes.values()) >= len(outcomes) // 2
 
@@ -148,7 +148,7 @@
     async def lease(self, life_s):
         try:
             return await real(self, life_s)
-        except Unsure:
+        except UnknownOutcomeError:
             await Future()
 
     patch.setattr(StateClient, "lease", lease)
@@ -164,15 +164,15 @@
 
 def failed_renewals_count_as_made(patch):
     """Membership: a lease is believed in although no renewal of it was answered."""
-    real = StateClient.touch
+    real = StateClient.renew_lease
 
     async def touch(self, permit):
         try:
             await real(self, permit)
-        except (Unsure, Unavailable):
+        except (UnknownOutcomeError, UnavailableError):
             pass
 
-    patch.setattr(StateClient, "touch", touch)
+    patch.setattr(StateClient, "renew_lease", touch)
 
 
 def test_a_renewal_that_failed_and_counts_as_made_is_noticed():
@@ -184,21 +184,23 @@
 
     async def move(self, moves):
         await self._state.multi([], [{"drop": KEY + job_id} for job_id, _record, _stamp in moves])
-        await self._state.multi([], [{"put": SHELF + job_id, "data": record} for job_id, record, _ in moves])
+        await self._state.multi(
+            [], [{"put": ARCHIVE + job_id, "data": record} for job_id, record, _ in moves]
+        )
 
-    patch.setattr(Shelf, "_move", move)
+    patch.setattr(RecordArchiver, "_move", move)
 
 
 def parts_of_tries_mix(patch):
     """Pipelines: a part without an answer goes under another key next, and all tries have one nonce."""
     real = StateClient.multi
-    patch.setattr(parts, "secrets", SimpleNamespace(token_hex=lambda _count: "0"))
+    patch.setattr(upstream_parts, "secrets", SimpleNamespace(token_hex=lambda _count: "0"))
 
     async def multi(self, conditions, writes, patient=False):
         try:
             return await real(self, conditions, writes, patient)
-        except Unsure:
-            if not writes or not writes[0].get("put", "").startswith(parts.PARTS):
+        except UnknownOutcomeError:
+            if not writes or not writes[0].get("put", "").startswith(upstream_parts.PARTS):
                 raise
             again = [{"put": f"{write['put']}-again", "data": write["data"]} for write in writes]
             return await real(self, conditions, again, patient)
@@ -226,7 +228,7 @@
     def join(self, label, nonce):
         newest = max((entry[0] for entry in self.members.values()), default=0)
         return real(
-            Term(self.number, newest + 1, self.members, self.wardens, self.relieved, self.shares),
+            Term(self.number, newest + 1, self.members, self.quota_leaders, self.relieved, self.shard_map),
             label,
             nonce,
         )
@@ -245,18 +247,18 @@
 
 def own_creation_is_not_recognized(patch):
     """5: whoever finds its own record after a lost answer takes it for somebody else's."""
-    real = Book._conflict
+    real = JobStore._conflict
 
     def conflict(self, job, record, stamp):
         pending = self._settled(job)
         if pending is None:
             return real(self, job, record, stamp)
-        self.recorder.unmark(job)
+        self.recorder.cancel_write(job)
         pending.set((False, record))
         return None
 
-    patch.setattr(Entry, "is_stored_as", lambda _self, _record: False)
-    patch.setattr(Book, "_conflict", conflict)
+    patch.setattr(RecordWrite, "is_stored_as", lambda _self, _record: False)
+    patch.setattr(JobStore, "_conflict", conflict)
 
 
 @pytest.mark.parametrize(
@@ -309,14 +311,14 @@
 
 def marks_are_dropped_early(patch):
     """4: the mark of a cancellation goes as soon as its job's owner has heard of it."""
-    real = Book.cancelled
+    real = JobStore.cancelled
 
     def cancelled(self, job_id, record=None):
         if job_id in self.jobs:
-            self.recorder.drop(f"c/x/{job_id}")
+            self.recorder.schedule_delete(f"c/x/{job_id}")
         return real(self, job_id, record)
 
-    patch.setattr(Book, "cancelled", cancelled)
+    patch.setattr(JobStore, "cancelled", cancelled)
 
 
 def test_a_mark_that_is_dropped_early_is_noticed():
@@ -325,7 +327,7 @@
 
 def records_without_stamps(patch):
     """5: the service carries out writes of records whatever is there."""
-    real = StateService.multi
+    real = StateServiceEmulator.multi
 
     def multi(self, body):
         kept = [
@@ -333,7 +335,7 @@
         ]
         return real(self, {**body, "if": kept})
 
-    patch.setattr(StateService, "multi", multi)
+    patch.setattr(StateServiceEmulator, "multi", multi)
 
 
 def unsure_is_told_as_cancelled(patch):
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -6,8 +6,8 @@
 import pytest
 
 from roadhead.local.world import World
-from roadhead.membership.touch import Cancellations, Touch
-from roadhead.state.client import Unavailable
+from roadhead.membership.cancellation_freshness import CancellationFreshness, KnownCancellations
+from roadhead.state.client import UnavailableError
 
 LATER = 1e9
 
@@ -30,30 +30,30 @@
 
 @pytest.mark.parametrize("seed", range(2000, 2006))
 def test_meetings_drawn_by_chance(seed):
-    assert World(hunt.drawn_meetings(seed)).run().broken == []
+    assert World(hunt.drawn_meetings(seed)).run().violations == []
 
 
 def test_hearing_counts_only_as_long_as_it_does_not_break_off():
     """Cancellations are passed on for `keep_s`: who was out of touch for longer has missed some for ever."""
-    touch = Touch(blind_s=16, keep_s=256)
-    touch.look(watched_at=100, heard_at=None)
-    assert touch.fresh(115) and not touch.fresh(117)
-    touch.look(100, heard_at=150)  # all of the last 50 s was told by then
-    assert touch.fresh(160)
-    touch.look(100, heard_at=150 + 127)
-    assert touch.fresh(280)
-    touch.look(100, heard_at=277 + 129)
-    assert not touch.fresh(407)
-    touch.look(watched_at=420, heard_at=420)  # only the state service knows
-    assert touch.fresh(421)
+    touch = CancellationFreshness(blind_s=16, keep_s=256)
+    touch.refresh(watched_at=100, heard_at=None)
+    assert touch.is_within_staleness_bound(115) and not touch.is_within_staleness_bound(117)
+    touch.refresh(100, heard_at=150)  # all of the last 50 s was told by then
+    assert touch.is_within_staleness_bound(160)
+    touch.refresh(100, heard_at=150 + 127)
+    assert touch.is_within_staleness_bound(280)
+    touch.refresh(100, heard_at=277 + 129)
+    assert not touch.is_within_staleness_bound(407)
+    touch.refresh(watched_at=420, heard_at=420)  # only the state service knows
+    assert touch.is_within_staleness_bound(421)
 
 
 def test_news_of_cancellations_is_told_once_and_kept_for_a_bounded_time():
-    known = Cancellations(keep_s=100)
-    assert known.learn(["a", "b", "a"], 0) == ["a", "b"]
-    assert known.learn(["b", "c"], 50) == ["c"]
+    known = KnownCancellations(keep_s=100)
+    assert known.add_new(["a", "b", "a"], 0) == ["a", "b"]
+    assert known.add_new(["b", "c"], 50) == ["c"]
     known.prune(101)
-    assert known.all() == ["c"] and known.learn(["a"], 101) == ["a"]
+    assert known.all() == ["c"] and known.add_new(["a"], 101) == ["a"]
     known.prune(LATER)
     assert len(known) == 0
 
@@ -62,7 +62,7 @@
     """Nobody waits to hear from it, so that somebody's tasks might run on without its telling."""
     world = World("at 1 submit legs=2 runS=100\nat 20 cancel 1 1\nuntil 30").run()
     node, user = world.nodes[0], world.users["req-000001"]
-    assert user.told == "cancelled"
+    assert user.last_state == "cancelled"
     statuses = []
 
     async def ask():
@@ -81,10 +81,10 @@
     monkeypatch.setattr("roadhead.node.CANCELLED_MOST", 3)
     node = World("at 1 submit legs=1\nuntil 15").run().nodes[0]
     for number in range(3):
-        node.cancelled([f"req-{number}"])
-    node.cancelled(["req-1"])
-    with pytest.raises(Unavailable):
-        node.cancelled(["req-3"])
+        node.announce_cancelled([f"req-{number}"])
+    node.announce_cancelled(["req-1"])
+    with pytest.raises(UnavailableError):
+        node.announce_cancelled(["req-3"])
     assert len(node.cancellations) == 3
 
 
@@ -101,7 +101,7 @@
     marks = []
     world.run()
     assert marks == [True] and not any(key.startswith("c/x/") for key in world.state.data)
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_bad_news_of_cancellations_is_ignored_or_harmless():
@@ -111,4 +111,8 @@
     node.on_cancelled(["", "x" * 5000, "req-1x", "c/x/", "req-000077", "req-000077"])
     assert node.cancellations.all() == ["req-000077"]
     world.sim.run_until(60)
-    assert world.broken == [] and world.failures.texts == [] and world.users["req-000001"].told == "done"
+    assert (
+        world.violations == []
+        and world.failures.texts == []
+        and world.users["req-000001"].last_state == "done"
+    )
--- a/tests/test_odd_requests.py
+++ b/tests/test_odd_requests.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 
 from roadhead.api.submissions import parse
-from roadhead.local.scenario import job_from
+from roadhead.local.scenario import parse_job
 from roadhead.local.world import World
 from roadhead.runtime.loop import Timeout
 from roadhead.wire import messages
-from roadhead.wire.http import Client, NoAnswer
+from roadhead.wire.http import Client, NoResponseError
 
 ODD = "req-900001"
 AT_ONCE_S = 0.05
@@ -27,7 +27,7 @@
 
 def described(**fields):
     """A whole submission, with some fields set otherwise, or left out if `...`."""
-    job = job_from({})
+    job = parse_job({})
     job = {name: value for name, value in job.items() if name not in ("runS", "apartS", "faulty", "upstream")}
     return {name: value for name, value in {"id": ODD, **job, **fields}.items() if value is not ...}
 
@@ -111,7 +111,7 @@
             try:
                 status, answer, headers = await client.request(method, path, data, 5.0)
                 found.append((status, cbor2.loads(answer) if answer else None, headers))
-            except (NoAnswer, Timeout):
+            except (NoResponseError, Timeout):
                 found.append(None)
             self.took_s = world.sim.time - begun
 
@@ -232,7 +232,7 @@
 def test_any_value_of_a_field_is_taken_or_invalid(fields):
     try:
         spec = parse(body(**fields))
-    except messages.Invalid:
+    except messages.InvalidMessageError:
         return
     assert messages.JOB_ID.match(spec.id) and 1 <= spec.tasks <= messages.MAX_TASKS
 
@@ -243,7 +243,7 @@
     whole = body()
     try:
         parse(whole[:at] + junk + whole[at + removed :])
-    except messages.Invalid:
+    except messages.InvalidMessageError:
         pass
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -10,16 +10,16 @@
 from test_cost import HostedNode, calls
 from test_upgrade import Rolled, pipelines
 
-from roadhead.jobs.book import Book
 from roadhead.jobs.job import Job
+from roadhead.jobs.job_store import JobStore
 from roadhead.local.sim import Sim
 from roadhead.local.world import World
-from roadhead.membership import gate
-from roadhead.pipelines import ancestry, parts
+from roadhead.membership import format_gate
+from roadhead.pipelines import ancestry, upstream_parts
 from roadhead.pipelines.ancestry import Ancestry
-from roadhead.pipelines.line import Line
-from roadhead.pipelines.waits import CANCELLED, DONE, Waits
-from roadhead.pipelines.wishes import NONE, Wishes, wanted_of
+from roadhead.pipelines.dependency_index import CANCELLED, DONE, DependencyIndex
+from roadhead.pipelines.dependency_queue import DependencyQueue
+from roadhead.pipelines.inherited_priorities import NONE, InheritedPriorities, wanted_of
 from roadhead.settings import LaterLimits, StateLimits
 from roadhead.state.client import StateClient
 from roadhead.tenants import records
@@ -73,15 +73,16 @@
     st.lists(st.tuples(st.lists(st.integers(1, 12), max_size=4), st.integers(0, 9)), min_size=1, max_size=40)
 )
 def test_what_waits_is_what_a_simple_model_says(drawn):
-    """Jobs come and end in any order, through `Waits` with its consequences drawn as an owner does."""
-    model, waits, ended, free, jobs = Model(), Waits(), {}, set(), []
+    """Jobs come and end in any order, through `DependencyIndex` with its consequences drawn as an owner
+    does."""
+    model, waits, ended, free, jobs = Model(), DependencyIndex(), {}, set(), []
 
     def end(name, state):
         todo = [(name, state)]
         while todo:
             name, state = todo.pop()
             ended[name] = state
-            started, cancelled = waits.over(name, state)
+            started, cancelled = waits.on_job_ended(name, state)
             free.update(job.id for job in started)
             todo += [(job.id, CANCELLED) for job in cancelled]
 
@@ -91,7 +92,7 @@
             job = Job(spec(number, {number - back for back in backs if back < number}), ("a", 1), 0.0)
             jobs.append(job)
             model.upstream[job.id] = job.spec.upstream or []
-            outcome = waits.add(job, ended.get) if job.waits else DONE
+            outcome = waits.add(job, ended.get) if job.is_waiting else DONE
             if outcome == DONE:
                 free.add(job.id)
             elif outcome == CANCELLED:
@@ -116,15 +117,15 @@
     last = Job(spec(3, [2], due_s=100.0, urgency="high", estimate_s=8.0), ("a", 1), 1000.0)
     assert wanted_of(last, (1.0, 1.5)) == (1, 1092.0, 1142.0)
     middle = Job(spec(2, [1], urgency="low", estimate_s=20.0), ("a", 1), 1000.0)
-    wishes = Wishes(48.0)
+    wishes = InheritedPriorities(48.0)
     assert wishes.wish(middle.id, last.id, *wanted_of(last, (1.0, 1.5)), last.id, 1001.0)
     rank, middle.due_by, middle.last_by = wishes.of(middle.id)
-    middle.lift(rank)
+    middle.raise_urgency(rank)
     assert wanted_of(middle, None) == (1, 1072.0, 1122.0) and middle.shape[0] == 1
 
 
 def test_a_wish_ends_with_who_had_it_or_when_it_is_not_repeated():
-    wishes = Wishes(10.0)
+    wishes = InheritedPriorities(10.0)
     wishes.wish("req-1", "req-2", 0, 50.0, 60.0, "req-8", 0.0)
     wishes.wish("req-1", "req-3", 1, 40.0, 90.0, "req-9", 5.0)
     assert wishes.of("req-1") == (0, 40.0, 60.0) and wishes.end("req-1") == "req-9"
@@ -138,7 +139,7 @@
 
 def test_parts_hold_all_names_in_order_and_fit():
     names = [f"req-{number:030d}" for number in range(1600)]
-    values = parts.split(names, 2048, 1e9)
+    values = upstream_parts.split(names, 2048, 1e9)
     assert [name for value in values for name in value["ids"]] == names
     assert max(len(messages.msgspec.json.encode(value)) for value in values) <= 2048
     assert max(len(str(value).replace(" ", "  ")) for value in values) > 1500
@@ -148,32 +149,42 @@
     """A controller's book with so many jobs held back, a few that may run, and what was sent."""
     node = HostedNode(1, others)
     node.sent = []
-    node.book.line._send = lambda _label, frame: node.sent.append(frame)
-    node.book.line.waits = Waits()
+    node.job_store.dependency_queue._send = lambda _label, frame: node.sent.append(frame)
+    node.job_store.dependency_queue.dependencies = DependencyIndex()
     for number in range(waiting):
         upstream = ["req-7"] if number < 2000 else [f"req-{number}"]
         spec = messages.msgspec.structs.replace(node.spec(number + 5000), upstream=upstream)
         job = Job(spec, ("here", 1), 0.0)
-        assert node.book.line.enter(job)
+        assert node.job_store.dependency_queue.add_waiting(job)
     return node
 
 
 def test_jobs_that_wait_cost_no_pass_over_them():
     few, many = holding(1000), holding(20000)
     for node in (few, many):
-        assert len(node.book.jobs) == 10 and len(node.book.line.waits.jobs) >= 1000
-    assert calls(many.book.reconciliation.ask_all, []) == calls(few.book.reconciliation.ask_all, [])
-    assert len(list(many.sharing.candidates())) == len(list(few.sharing.candidates())) == 10
+        assert (
+            len(node.job_store.jobs) == 10 and len(node.job_store.dependency_queue.dependencies.jobs) >= 1000
+        )
+    assert calls(many.job_store.reconciliation.ask_all, []) == calls(few.job_store.reconciliation.ask_all, [])
+    assert len(list(many.fair_share.candidates())) == len(list(few.fair_share.candidates())) == 10
     # A beat says the wishes of a bounded number again.
-    many.member.gate.record = {"format": many.member.gate.knows, "seen": {}}
-    assert 0 < calls(many.book.line.tick) <= 2.5 * calls(few.book.line.tick)
+    many.member.format_gate.record = {"format": many.member.format_gate.knows, "seen": {}}
+    assert (
+        0
+        < calls(many.job_store.dependency_queue.refresh_priorities)
+        <= 2.5 * calls(few.job_store.dependency_queue.refresh_priorities)
+    )
 
 
 def test_two_thousand_released_at_once_cost_what_they_are():
     node = holding(20000)
     few = holding(2000)
-    cost = [calls(each.book.remember, "req-7", {"s": "done", "n": 1, "d": 1}) for each in (few, node)]
-    assert len(node.book.jobs) == 2010 and len(node.book.line.waits.jobs) == 18000
+    cost = [
+        calls(each.job_store.remember_final, "req-7", {"s": "done", "n": 1, "d": 1}) for each in (few, node)
+    ]
+    assert (
+        len(node.job_store.jobs) == 2010 and len(node.job_store.dependency_queue.dependencies.jobs) == 18000
+    )
     assert cost[1] <= 1.05 * cost[0] and cost[0] < 2000 * 40
 
 
@@ -236,8 +247,8 @@
     client = StateClient(Sim(1), None, "10.2.0.1:2379", limits, 3, lambda: told.append(True))
     assert (client.limits.value_kb, client.limits.txn_ops, client.limits.write_rps) == (2.0, 5, 20.0)
     assert client.batch == 5 and not client.lowered
-    client.lower()
-    client.lower()
+    client.apply_lower_limits()
+    client.apply_lower_limits()
     assert client.lowered and told == [True] and client.limits.write_rps == 15.0
     assert client.writes.rate == pytest.approx(0.95 * 5.0)
 
@@ -252,7 +263,7 @@
     assert tenant.fitting(8192) is tenant
     smaller = tenant.fitting(600)
     assert smaller.teams == tenant.teams and not smaller.requests
-    with pytest.raises(records.Contradiction, match=r"fewer teams or keys"):
+    with pytest.raises(records.InvalidTenantError, match=r"fewer teams or keys"):
         tenant.fitting(300)
 
 
@@ -261,33 +272,37 @@
 
 def starts_at_once(patch):
     """A job starts although what it needs is not done."""
-    patch.setattr(Line, "enter", lambda self, job: bool(job.waits and job.release(job.accepted_at)))
+    patch.setattr(
+        DependencyQueue,
+        "add_waiting",
+        lambda self, job: bool(job.is_waiting and job.release(job.accepted_at)),
+    )
 
 
 def one_is_enough(patch):
     """A job starts once the first of those that it needs is done."""
-    real = Waits.over
+    real = DependencyIndex.on_job_ended
 
     def over(self, name, state):
         if state == DONE:
-            for job in self.needed.get(name, ()):
+            for job in self.dependents.get(name, ()):
                 for other in list(self._left[job]):
                     if other != name:
                         del self._left[job][other]
-                        del self.needed[other][job]
+                        del self.dependents[other][job]
         return real(self, name, state)
 
-    patch.setattr(Waits, "over", over)
+    patch.setattr(DependencyIndex, "on_job_ended", over)
 
 
 def unknown_taken_for_done(patch):
     """An heir takes what it has not heard of for done."""
-    real = Waits.add
+    real = DependencyIndex.add
     patch.setattr(
-        Waits,
+        DependencyIndex,
         "add",
         lambda self, job, ended: real(
-            self, job, (lambda name: ended(name) or DONE) if job.foreign else ended
+            self, job, (lambda name: ended(name) or DONE) if job.owned_by_predecessor else ended
         ),
     )
 
@@ -296,10 +311,10 @@
     """An inherited job starts once what it needs is done, though its owner of before may have started it."""
 
     def released(self, job):
-        job.unsynced = set()
+        job.unreconciled_leaders = set()
         self._begin(job)
 
-    patch.setattr(Book, "released", released)
+    patch.setattr(JobStore, "on_upstream_done", released)
 
 
 def never_derived(patch):
@@ -309,7 +324,7 @@
         return record, []
 
     patch.setattr(Ancestry, "derive", derive)
-    patch.setattr(Line, "_cancel", lambda self, job: None)
+    patch.setattr(DependencyQueue, "_cancel", lambda self, job: None)
 
 
 def only_the_next_above(patch):
@@ -318,19 +333,19 @@
     patch.setattr(
         Ancestry, "_note", lambda self, name, record, stamp: real(self, name, {**record, "rel": 1.0}, stamp)
     )
-    patch.setattr(Line, "_cancel", lambda self, job: None)
+    patch.setattr(DependencyQueue, "_cancel", lambda self, job: None)
 
 
 def facts_never_old(patch):
     """What was found of an ancestor once is taken for true after a cancellation."""
     patch.setattr(Ancestry, "_fact", lambda self, name, _stamp: self._facts.get(name))
-    patch.setattr(Line, "_cancel", lambda self, job: None)
+    patch.setattr(DependencyQueue, "_cancel", lambda self, job: None)
 
 
 def cancellations_not_counted(patch):
     """A cancellation does not change the key by which polls notice it."""
     patch.setattr("roadhead.api.cancellation_writer.CANCELS", "c/y")
-    patch.setattr(Line, "_cancel", lambda self, job: None)
+    patch.setattr(DependencyQueue, "_cancel", lambda self, job: None)
 
 
 def accepted_unseen(patch):
@@ -344,10 +359,10 @@
 
 def opened_by_those_alive(patch):
     """The gate counts only who is there."""
-    real = gate.following
+    real = format_gate.next_record
     patch.setattr(
-        gate,
-        "following",
+        format_gate,
+        "next_record",
         lambda record, labels, present, knows, now: real(
             record, [label for label in labels if label in present], present, knows, now
         ),
@@ -356,7 +371,7 @@
 
 def taken_before_the_gate(patch):
     """Submissions that name others are taken although an old controller may inherit them."""
-    patch.setattr(gate.Gate, "open", property(lambda self: True))
+    patch.setattr(format_gate.FormatGate, "is_open", property(lambda self: True))
 
 
 def sizes_of_today(patch):
@@ -418,7 +433,7 @@
     def faults(seed):
         played = (Rolled if rolled else World)(f"{text}\nseed {seed}\n").run()
         told = [] if rolled else played.check()
-        return played.broken + told + ["too large"] * bool(played.state.oversized)
+        return played.violations + told + ["too large"] * bool(played.state.oversized)
 
     for seed in range(1, 31):
         with pytest.MonkeyPatch.context() as patch:
@@ -431,36 +446,41 @@
 
 def test_word_of_what_is_over_is_believed_once_and_told_by_who_wrote_it():
     node = holding(3)
-    line = node.book.line
-    line.on_over(frames.JobsOver([("req-7", 2, 2, 1e9, False)]))
-    assert len(node.book.jobs) == 13 and node.book.finals["req-7"]["e"] == 1e9
-    assert all(job.released_at == 1e9 for job in list(node.book.jobs.values())[10:])
-    line.on_over(frames.JobsOver([("req-7", 2, 0, 0.0, True)]))
-    assert node.book.finals["req-7"]["s"] == "done"
+    line = node.job_store.dependency_queue
+    line.on_over(frames.JobsEnded([("req-7", 2, 2, 1e9, False)]))
+    assert len(node.job_store.jobs) == 13 and node.job_store.final_records["req-7"]["e"] == 1e9
+    assert all(job.released_at == 1e9 for job in list(node.job_store.jobs.values())[10:])
+    line.on_over(frames.JobsEnded([("req-7", 2, 0, 0.0, True)]))
+    assert node.job_store.final_records["req-7"]["s"] == "done"
 
 
 def test_a_takeover_writes_nothing_for_jobs_that_wait():
     """It takes them over when they are let go: with a write, and with the word of every home."""
     node = HostedNode(1, 0)
-    book, marked, sent = node.book, [], []
-    book._send = book.reconciliation._send = lambda _label, frame: sent.append(frame)
+    job_store, encode_urgency, sent = node.job_store, [], []
+    job_store._send = job_store.reconciliation._send = lambda _label, frame: sent.append(frame)
 
     class Marked:
-        def mark(self, job, _urgency):
-            marked.append(job)
+        def schedule_write(self, job, _urgency):
+            encode_urgency.append(job)
 
-    book.recorder = Marked()
+    job_store.recorder = Marked()
     specs = [
         messages.msgspec.structs.replace(node.spec(number), upstream=["req-7"] if number % 2 else None)
         for number in range(200)
     ]
-    book.adopt([(Job(each, ("gone", 1), 0.0).record(1 << 15)[0], 5) for each in specs])
-    assert len(marked) == len(book.jobs) == 100 and len(book.line.waits.jobs) == 100
+    job_store.take_over([(Job(each, ("gone", 1), 0.0).record(1 << 15)[0], 5) for each in specs])
+    assert (
+        len(encode_urgency) == len(job_store.jobs) == 100
+        and len(job_store.dependency_queue.dependencies.jobs) == 100
+    )
     assert [len(frame.jobs) for frame in sent] == [100, 100]  # a home each
-    book.remember("req-7", {"s": "done", "n": 1, "d": 1})
+    job_store.remember_final("req-7", {"s": "done", "n": 1, "d": 1})
     node.loop.run_until(0.1)
-    assert len(marked) == len(book.jobs) == 200
-    assert all(job.unsynced == {"here", "there"} and job.adopting for job in book.jobs.values())
+    assert len(encode_urgency) == len(job_store.jobs) == 200
+    assert all(
+        job.unreconciled_leaders == {"here", "there"} and job.taking_over for job in job_store.jobs.values()
+    )
     assert [len(frame.jobs) for frame in sent[2:]] == [100, 100]
 
 
@@ -485,7 +505,7 @@
 
     state.handle = handle
     world.run()
-    assert held and world.broken == [] and not world.users["req-000131"].accepted
+    assert held and world.violations == [] and not world.users["req-000131"].accepted
     assert not any(key.startswith(("u/", "j/")) for key in state.data)
     status, answer = state.multi(held[0][3])
     assert status == 409 and any(key.startswith("u/") for key in answer["failed"])
@@ -499,10 +519,10 @@
     assert world.check() == []
     node = world.nodes[0]
     large = spec(9)
-    assert node.impossible(messages.msgspec.structs.replace(large, team="crew")) is None
+    assert node.infeasibility_of(messages.msgspec.structs.replace(large, team="crew")) is None
     types = ["box", *("y" * 190 for _ in range(60))]
     many = messages.msgspec.structs.replace(large, team="crew", types=types)
-    assert "larger than the state service takes" in node.impossible(many)
+    assert "larger than the state service takes" in node.infeasibility_of(many)
 
 
 def test_lower_limits_found_by_one_are_known_to_all_at_once():
@@ -517,11 +537,11 @@
         lowered.append([node.state.lowered for _number, node in sorted(world.nodes.items())])
 
     world.sim.call_at(19.0, look)
-    world.sim.call_at(20.0, lambda: world.nodes[0].state.lower())
+    world.sim.call_at(20.0, lambda: world.nodes[0].state.apply_lower_limits())
     for at in (20.2, 36.0):
         world.sim.call_at(at, look)
     world.run()
-    assert world.broken == [] and lowered == [[False] * 3, [True] * 3, [True] * 3]
+    assert world.violations == [] and lowered == [[False] * 3, [True] * 3, [True] * 3]
     assert any("limits are lower" in line for line in world.nodes[0].summary()["troubles"])
 
 
--- a/tests/test_read_order.py
+++ b/tests/test_read_order.py
@@ -6,11 +6,11 @@
 from roadhead.api.answers import Answer
 from roadhead.api.job_states import JobStates
 from roadhead.api.submissions import Submissions
-from roadhead.jobs.book import Book
+from roadhead.jobs.job_store import JobStore
 from roadhead.jobs.task_reports import TaskReports
 from roadhead.node import Node
 from roadhead.state.client import StateClient
-from roadhead.state.reader import Reader
+from roadhead.state.record_reader import RecordReader
 from roadhead.wire import messages
 
 OWNER = "10.0.0.1"  # the first controller's host
@@ -76,7 +76,7 @@
 def test_no_answer_is_older_than_one_heard_before(event, condition):
     world = played(event, condition)
     assert older_answers(world.answers) == []
-    assert world.broken == [] and world.ghosts() == [] and world.failures.texts == []
+    assert world.violations == [] and world.ghosts() == [] and world.failures.texts == []
 
 
 def asked_while_it_moves(method):
@@ -106,10 +106,10 @@
 
 def test_reading_the_archive_first_is_noticed():
     """5: a record that moves between two reads is not found in either place."""
-    real = Reader.__init__
+    real = RecordReader.__init__
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(
-            Reader,
+            RecordReader,
             "__init__",
             lambda self, loop, state, patience_s, places, *more: real(
                 self, loop, state, patience_s, places[::-1], *more
@@ -143,7 +143,7 @@
 
 def test_a_read_sent_before_a_creation_and_believed_after_it_is_noticed():
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Reader, "exists", lambda self, name: None)
+        patch.setattr(RecordReader, "note_existing", lambda self, name: None)
         assert asked_while_it_is_made() == 404
 
 
@@ -154,18 +154,18 @@
         for name, (record, _conditions) in known.items():
             self._answer(batch.pop(name), record, self._loop.now())
 
-    patch.setattr(Reader, "_compare", compare)
+    patch.setattr(RecordReader, "_compare", compare)
 
 
 def missing_for_ever(patch):
     """A job that was not found once is called unknown from then on."""
-    real = Reader.read
+    real = RecordReader.read
 
     async def read(self, name):
         known = self._known.get(name)
         return None if known is not None and known[0] is None else await real(self, name)
 
-    patch.setattr(Reader, "read", read)
+    patch.setattr(RecordReader, "read", read)
 
 
 def over_before_durable(patch):
@@ -175,7 +175,7 @@
     def done(self, job, index):
         real(self, job, index)
         if job.state == "done":
-            self._store.remember(job.id, job.final("done"))
+            self._store.remember_final(job.id, job.final("done"))
 
     patch.setattr(TaskReports, "_done", done)
 
@@ -185,7 +185,7 @@
     real = JobStates.read
 
     async def read(self, job_id):
-        job = self._node.book.jobs.get(job_id)
+        job = self._node.job_store.jobs.get(job_id)
         if job is not None and job.state == "open":
             return Answer(200, messages.job_status(job_id, job.status(), 0, 0))
         return await real(self, job_id)
@@ -195,7 +195,7 @@
 
 def told_by_an_earlier_read(patch):
     """A poll is answered by a request that was sent before it came."""
-    real = Reader._ask
+    real = RecordReader._ask
 
     async def ask(self, name):
         under_way = self.__dict__.setdefault("under_way", {})
@@ -204,12 +204,12 @@
             under_way[name].on_done(lambda _future: under_way.pop(name))
         return await under_way[name]
 
-    patch.setattr(Reader, "_ask", ask)
+    patch.setattr(RecordReader, "_ask", ask)
 
 
 def final_records_read_meanwhile_forgotten(patch):
     """A read answered late is told although the controller has said since that the job is over."""
-    patch.setattr(Node, "read", lambda self, job_id: self.reader.read(job_id))
+    patch.setattr(Node, "read", lambda self, job_id: self.record_reader.read(job_id))
 
 
 def repeats_join_a_creation(patch):
@@ -220,7 +220,7 @@
 def cancelled_too_early_to_be_heard(patch):
     """Word of a cancellation is lost on a controller whose write of the record is not answered yet."""
     patch.setattr(
-        Book, "_cancelled_early", property(lambda self: set(), lambda self, _set: None), raising=False
+        JobStore, "_cancelled_early", property(lambda self: set(), lambda self, _set: None), raising=False
     )
 
 
@@ -259,8 +259,8 @@
 
 def test_an_end_and_a_cancellation_leave_one_answer():
     world = ended_while_it_is_cancelled()
-    assert world.users["req-000001"].told == "done"
-    assert older_answers(world.answers) == [] and world.broken == []
+    assert world.users["req-000001"].last_state == "done"
+    assert older_answers(world.answers) == [] and world.violations == []
 
 
 def test_a_cancellation_that_ignores_the_end_is_noticed():
@@ -274,7 +274,7 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(StateClient, "multi", multi)
         world = ended_while_it_is_cancelled()
-    assert older_answers(world.answers) and world.broken
+    assert older_answers(world.answers) and world.violations
 
 
 @pytest.mark.parametrize("event", EVENTS)
@@ -305,5 +305,5 @@
 
 def test_waiting_for_the_state_service_is_noticed():
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(StateClient, "failing_s", lambda self: 0.0)
+        patch.setattr(StateClient, "failing_for_s", lambda self: 0.0)
         assert len(late_refusals("cancelled")) > 5 * ONE_IN_TURN
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -20,7 +20,7 @@
 
     def __init__(self):
         self.bound = {0: Binding(MACHINE, "a", 7, "running", 0.0)}
-        self.unsynced = set()
+        self.unreconciled_leaders = set()
 
 
 class Owner:
@@ -52,13 +52,13 @@
 
 def moved(term, label, machine=MACHINE):
     """The next term: the machine's share goes from ctl-0 to that label."""
-    return term.move({term.share(machine): label}, "ctl-0")
+    return term.move({term.shard_of(machine): label}, "ctl-0")
 
 
 def other_move(term):
     """The next term: a share that the machine is not in goes from ctl-0 to ctl-2."""
-    share = next(share for share in term.held("ctl-0") if share != term.share(MACHINE))
-    return term.move({share: "ctl-2"}, "ctl-0")
+    shard = next(shard for shard in term.shards_of("ctl-0") if shard != term.shard_of(MACHINE))
+    return term.move({shard: "ctl-2"}, "ctl-0")
 
 
 def test_a_claim_that_a_newer_term_overtook_is_told_again(term):
@@ -78,7 +78,7 @@
     owner = Owner(term)
     first = moved(term, "ctl-1")
     [(label, frame)] = owner.adopt(first)
-    owner.reconciliation.on_synced(label, frames.Synced(frame.term, frame.number))
+    owner.reconciliation.on_synced(label, frames.ReconcileDone(frame.term, frame.number))
     assert owner.adopt(other_move(first)) == []
 
 
@@ -97,5 +97,5 @@
     [(label, early)] = owner.adopt(first)
     second = other_move(first)
     assert owner.adopt(second)
-    owner.reconciliation.on_synced(label, frames.Synced(early.term, early.number))
+    owner.reconciliation.on_synced(label, frames.ReconcileDone(early.term, early.number))
     assert owner.adopt(other_move(second))
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -5,12 +5,12 @@
 import pytest
 from test_odd_requests import Asked, body
 
-from roadhead.api.answers import TEXTS, Cause, Question, counter_of, refusal_of
+from roadhead.api.answers import TEXTS, Cause, RequestKind, counter_of, refusal_of
 from roadhead.local.world import World
 from roadhead.node import Node
 from roadhead.runtime.loop import Timeout
-from roadhead.state.client import Conflict, StateClient, Unavailable, Unsure
-from roadhead.state.reader import RESERVED
+from roadhead.state.client import ConflictError, StateClient, UnavailableError, UnknownOutcomeError
+from roadhead.state.record_reader import RESERVED
 
 OPERATIONS = Path(__file__).parent.parent / "docs" / "operations.md"
 
@@ -36,11 +36,11 @@
     ("error", "cause"),
     [
         (Timeout(), Cause.READ_SLOW),
-        (Unsure("closed"), Cause.STATE_UNSURE),
-        (Conflict(["j/req-1"]), Cause.CONFLICTS),
-        (Unavailable("503"), Cause.STATE_UNAVAILABLE),
-        (Unavailable("busy"), Cause.READS_CROWDED),
-        (Unavailable("read too long ago"), Cause.READ_STALE),
+        (UnknownOutcomeError("closed"), Cause.STATE_UNSURE),
+        (ConflictError(["j/req-1"]), Cause.CONFLICTS),
+        (UnavailableError("503"), Cause.STATE_UNAVAILABLE),
+        (UnavailableError("busy"), Cause.READS_CROWDED),
+        (UnavailableError("read too long ago"), Cause.READ_STALE),
     ],
 )
 def test_errors_of_reads_and_writes_have_a_cause(error, cause):
@@ -53,7 +53,7 @@
     assert asked.ask(0, "POST", "/v1/jobs/req-000001/cancel")[0] == 503
     assert asked.ask(0, "POST", "/v1/jobs", body())[0] == 503
     lines = asked.world.nodes[0].summary()["troubles"]
-    for question in Question:
+    for question in RequestKind:
         assert any(f"{question.value}s answered 503" in line for line in lines)
         assert any(asked.count(question, cause) for cause in Cause)
 
@@ -80,7 +80,7 @@
     asked = begun_anew("at 19 cut 0 state 20 reset")
     status, _, headers = asked.submit_at(22.0)
     assert status == 503 and "retry-after" in headers and asked.took_s < 0.6
-    assert asked.count(Question.SUBMISSION, Cause.NOT_A_MEMBER) == 1
+    assert asked.count(RequestKind.SUBMISSION, Cause.NOT_A_MEMBER) == 1
 
 
 def test_users_are_let_go_by_a_controller_that_is_not_ready():
@@ -118,7 +118,7 @@
 
     world.sim.spawn(submit(), "first")
     world.sim.run_until(15.2)
-    monkeypatch.setattr(Node, "most_creating", -1)
+    monkeypatch.setattr(Node, "max_creations", -1)
     monkeypatch.setattr("roadhead.jobs.recorder.Recorder.backlog", lambda _self: 1)
     world.sim.spawn(submit(), "repeated")
     world.sim.run_until(26)
@@ -138,7 +138,7 @@
     node.member._lose()
     asked.world.sim.run_until(15.6)
     assert [answer.status for answer, _ in answers] == [503]
-    assert asked.count(Question.SUBMISSION, Cause.NOT_A_MEMBER) == 1
+    assert asked.count(RequestKind.SUBMISSION, Cause.NOT_A_MEMBER) == 1
 
 
 def test_a_poll_waits_while_leases_and_starts_need_the_requests(monkeypatch):
@@ -164,8 +164,8 @@
     monkeypatch.setattr(node.state.requests, "spare", lambda share: False)
     job_of_nobody = "req-700001"  # no other user asks about it
     assert asked.ask(0, "GET", f"/v1/jobs/{job_of_nobody}")[0] == 503
-    assert asked.count(Question.POLL, Cause.READ_SLOW) >= 1
-    assert job_of_nobody not in node.reader._waiting
+    assert asked.count(RequestKind.POLL, Cause.READ_SLOW) >= 1
+    assert job_of_nobody not in node.record_reader._waiting
 
 
 def test_a_cancellation_reads_what_came_of_a_lost_answer(monkeypatch):
@@ -175,7 +175,7 @@
     async def get(self, key):
         if key == "j/req-000001" and not lost:
             lost.append(key)
-            raise Unsure("closed")
+            raise UnknownOutcomeError("closed")
         return await real(self, key)
 
     monkeypatch.setattr(StateClient, "get", get)
@@ -187,16 +187,16 @@
     asked = AskedAlone("")
 
     async def multi(self, conditions, writes):
-        raise Conflict([conditions[0][0]])
+        raise ConflictError([conditions[0][0]])
 
     monkeypatch.setattr(StateClient, "multi", multi)
     assert asked.ask(0, "POST", "/v1/jobs/req-000001/cancel")[0] == 503
-    assert asked.count(Question.CANCELLATION, Cause.CONFLICTS) == 1
+    assert asked.count(RequestKind.CANCELLATION, Cause.CONFLICTS) == 1
 
 
 def test_world_counts_refusals_by_cause():
     world = World("until 30\nat 1 submit count=2 legs=1 runS=500\nat 10 outage 10\nat 12 cancel 1").run()
-    assert world.counter(counter_of(Question.CANCELLATION, Cause.STATE_UNAVAILABLE)) > 0
+    assert world.counter(counter_of(RequestKind.CANCELLATION, Cause.STATE_UNAVAILABLE)) > 0
 
 
 def test_cancellations_that_come_together_share_writes_and_let_creations_through():
@@ -209,8 +209,8 @@
     assert asked.submit_at(40.1)[0] == 201
     assert asked.took_s < 0.5
     world.sim.run_until(80)
-    assert {user.told for user in users[3:]} == {"cancelled"}
-    assert world.broken == []
+    assert {user.last_state for user in users[3:]} == {"cancelled"}
+    assert world.violations == []
 
 
 def test_one_changed_record_does_not_hold_up_those_cancelled_with_it(monkeypatch):
@@ -220,7 +220,7 @@
     async def multi(self, conditions, writes):
         sent.append([key for key, _stamp in conditions])
         if len(conditions) > 1 and conditions[0][0].startswith("j/") and len(sent) == 1:
-            raise Conflict([conditions[0][0]])
+            raise ConflictError([conditions[0][0]])
         return await real(self, conditions, writes)
 
     node = world.nodes[0]
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from roadhead.jobs.book import MAX_FINALS
+from roadhead.jobs.job_store import MAX_FINALS
 from roadhead.local.world import World
 from roadhead.membership.term import Term
-from roadhead.state.reader import KEPT_MOST
+from roadhead.state.record_reader import KEPT_MOST
 
 # What happens from second 20 on, and how long it takes.
 COURSES = {
@@ -38,8 +38,8 @@
         for number in (0, 1):
             at = 20.05 + step * COURSES[course][1] / 6
             world = played(course, at, number)
-            assert world.broken == [] and world.failures.texts == [], (course, at, number)
-            told = {user.told for user in world.users.values() if user.accepted}
+            assert world.violations == [] and world.failures.texts == [], (course, at, number)
+            told = {user.last_state for user in world.users.values() if user.accepted}
             assert told == {"done"}, (course, at, number)
             assert all(user.accepted for user in world.users.values())
             assert world.counter("duties_failed") == 0
@@ -50,9 +50,9 @@
     term = Term().join("a", "1").join("b", "2")
     again = term.join("a", "3")
     assert again.incarnation("a") > term.incarnation("a") and not again.serves("a", term.incarnation("a"))
-    for share, token in again.held("a").items():
-        assert token > term.held("a").get(share, 0)
-    assert again.held("b") == term.held("b")
+    for shard, token in again.shards_of("a").items():
+        assert token > term.shards_of("a").get(shard, 0)
+    assert again.shards_of("b") == term.shards_of("b")
 
 
 def test_sockets_and_buffers_at_half_as_many_machines_again_keep_to_the_settings():
@@ -70,9 +70,12 @@
     def look():
         for node in world.nodes.values():
             workers = node.workers
-            assert sum(workers._asking) <= workers._sockets.orders_most
-            assert len(workers._clients) <= workers._sockets.orders_kept
-            assert len(node.book.finals) <= MAX_FINALS and len(node.reader._known) <= KEPT_MOST
+            assert sum(workers._asking) <= workers._sockets.max_command_requests
+            assert len(workers._clients) <= workers._sockets.max_idle_command_connections
+            assert (
+                len(node.job_store.final_records) <= MAX_FINALS
+                and len(node.record_reader._known) <= KEPT_MOST
+            )
         for host in [f"10.0.0.{number + 1}" for number in range(3)]:
             open_now = sum(stream.host == host and not stream.closed for stream in world.network._streams)
             most[host] = max(most.get(host, 0), open_now)
@@ -81,7 +84,7 @@
 
     world.sim.call_at(10.0, look)
     world.run()
-    assert world.broken == [] and world.failures.texts == []
+    assert world.violations == [] and world.failures.texts == []
     assert sum(worker.up for worker in world.cloud.rented.values()) >= 400
     assert max(most.values()) <= 250
     assert world.killed == 0
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -5,43 +5,43 @@
 
 from roadhead.api.answers import Answer
 from roadhead.api.server import Api
-from roadhead.homes.hearing import Hearing
-from roadhead.homes.home import Home
-from roadhead.homes.machine import Machine
-from roadhead.homes.shard_reconciliation import ShardReconciliation
-from roadhead.jobs.book import Book
+from roadhead.frame_router import FrameRouter
 from roadhead.jobs.job import Job, from_record
+from roadhead.jobs.job_store import JobStore
 from roadhead.jobs.quota import QuotaPartitions
 from roadhead.jobs.teams import Accounts
 from roadhead.local.world import World
+from roadhead.machines.machine import Machine
+from roadhead.machines.report_processor import ReportProcessor
+from roadhead.machines.shard_leader import ShardLeader
+from roadhead.machines.shard_reconciliation import ShardReconciliation
 from roadhead.membership.authority import Authority
-from roadhead.membership.touch import Cancellations
+from roadhead.membership.cancellation_freshness import KnownCancellations
 from roadhead.node import Node
-from roadhead.shares.map import Shares
-from roadhead.state.reader import Reader
-from roadhead.switchboard import Switchboard
+from roadhead.shards.map import ShardMap
+from roadhead.state.record_reader import RecordReader
 from roadhead.wire import frames, messages
 
 
 def never_fenced(patch):
     """1: shares that move, or whose home is a new incarnation, keep their tokens."""
-    real = Shares.give
-    patch.setattr(Shares, "give", lambda self, moves, _token: real(self, moves, self.tokens[0]))
+    real = ShardMap.reassign
+    patch.setattr(ShardMap, "reassign", lambda self, moves, _token: real(self, moves, self.tokens[0]))
 
 
 def freed_when_silent(patch):
     """2: tasks of a machine that was silent for a while are taken for gone."""
-    real = Home.tick
+    real = ShardLeader.tick
 
-    def tick(self, sure_at):
+    def tick(self, term_confirmed_at):
         now = self._loop.now()
         for machine in list(self.machines.values()):
             if now - (machine.heard_at or now) > 0.4 * self._workers.lease_s:
                 for task in machine.tasks.values():
-                    self._news.tell(task.owner, frames.Free(machine.id, *task.key, "silent"))
-        return real(self, sure_at)
+                    self._notifier.notify(task.owner, frames.AttemptGone(machine.id, *task.key, "silent"))
+        return real(self, term_confirmed_at)
 
-    patch.setattr(Home, "tick", tick)
+    patch.setattr(ShardLeader, "tick", tick)
 
 
 def started_unsynced(patch):
@@ -56,7 +56,7 @@
 
 def renews_blindly(patch):
     """4: a controller out of touch goes on renewing workers."""
-    patch.setattr(Authority, "may_renew", lambda self: True)
+    patch.setattr(Authority, "can_renew_leases", lambda self: True)
 
 
 def told_before_durable(patch):
@@ -70,7 +70,7 @@
         return answer
 
     def node_answer(self, body):
-        spec = messages.read(body, messages.JobSpec)
+        spec = messages.decode_as(body, messages.JobSpec)
         return messages.job_status(spec.id, "pending")
 
     patch.setattr(Api, "_submit", submit)
@@ -79,10 +79,10 @@
 
 def overtaken_answers_not_counted(patch):
     """2: of the reports answered only the newest message of its worker counts for the lease."""
-    real = Hearing.answer
+    real = ReportProcessor.answer
 
     def answer(self, report):
-        machine = self._known.machines.get(report.machine)
+        machine = self._registry.machines.get(report.machine)
         newest = machine and (machine.session, machine.sequence)
         renewed_at = machine and machine.lease.renewed_at
         renewal = real(self, report)
@@ -90,7 +90,7 @@
             machine.lease.renewed_at = renewed_at
         return renewal
 
-    patch.setattr(Hearing, "answer", answer)
+    patch.setattr(ReportProcessor, "answer", answer)
 
 
 def forgets_loose_launches(patch):
@@ -99,7 +99,7 @@
 
     def orders(self):
         for task in self.tasks.values():
-            task.loose_token = 0
+            task.unacked_launch_token = 0
         return real(self)
 
     patch.setattr(Machine, "orders", orders)
@@ -121,84 +121,84 @@
 
 def inherits_limits_unsure(patch):
     """Limits: a warden counts only what it has heard of, before its takeover is complete."""
-    patch.setattr(Accounts, "unsure", lambda self, job: None)
+    patch.setattr(Accounts, "unreconciled", lambda self, job: None)
     scanned = property(lambda self: 1 << 60, lambda self, number: None)
     patch.setattr(QuotaPartitions, "scanned", scanned, raising=False)
 
 
 def frees_when_lapsed(patch):
     """2: a controller that may have been dropped judges leases that others may have renewed."""
-    patch.setattr(Authority, "sure_at", lambda self: self._loop.now())
+    patch.setattr(Authority, "term_confirmed_at", lambda self: self._loop.now())
 
 
 def created_without_a_look_at_the_shelf(patch):
     """5: a retry of a job that is over, and whose record has moved, makes it anew."""
-    for module in ("recorder", "newness"):
-        patch.setattr(f"roadhead.jobs.{module}.SHELF", "nowhere/")
+    for module in ("recorder", "creation_check"):
+        patch.setattr(f"roadhead.jobs.{module}.ARCHIVE", "nowhere/")
 
 
 def polls_the_shelf_first(patch):
     """5: a record that moves between two reads is not found in either place."""
-    real = Reader.__init__
+    real = RecordReader.__init__
 
     def init(self, loop, state, patience_s, places, *more):
         real(self, loop, state, patience_s, places[::-1], *more)
 
-    patch.setattr(Reader, "__init__", init)
+    patch.setattr(RecordReader, "__init__", init)
 
 
 def up_taken_for_booting(patch):
     """3: machines that are up, too, count as never heard by the home of before."""
-    real = Home.covered
+    real = ShardLeader.apply_machine_list
 
     def covered(self, listed, asked_at):
         failed = real(self, listed, asked_at)
         for machine in self.machines.values():
             machine.born_at = asked_at
-        self.reconciliation.settle()
+        self.reconciliation.answer_syncs()
         return failed
 
-    patch.setattr(Home, "covered", covered)
+    patch.setattr(ShardLeader, "apply_machine_list", covered)
 
 
 def handed_over_taken_for_heard(patch):
     """2, 3: a machine given away counts as heard by its new home, since the old one had heard it."""
-    real = Home.on_handover
+    real = ShardLeader.on_handover
 
     def on_handover(self, frame):
         before = set(self.machines)
         real(self, frame)
         for name in self.machines.keys() - before:
             machine = self.machines[name]
-            machine.confirmed, machine.heard_at = machine.token, self._loop.now()
-            self.reconciliation.heard(machine)
-            self.rooms.changed(machine)
+            machine.confirmed_token, machine.heard_at = machine.token, self._loop.now()
+            self.reconciliation.mark_heard(machine)
+            self.capacity_granter.on_capacity_changed(machine)
 
-    patch.setattr(Home, "on_handover", on_handover)
+    patch.setattr(ShardLeader, "on_handover", on_handover)
 
 
 def moved_without_a_fence(patch):
     """3: a share that comes to a home is taken for known at once."""
-    real = ShardReconciliation.fence
+    real = ShardReconciliation.fence_shards
 
-    def fence(self, shares, short):
-        real(self, shares, short)
-        for share in shares:
-            self._fences[share].since = self._loop.now()
-            self._fences[share].covered = True
-            self._fences[share].awaited.clear()
+    def fence(self, shards, short):
+        real(self, shards, short)
+        for shard in shards:
+            self._fences[shard].since = self._loop.now()
+            self._fences[shard].covered = True
+            self._fences[shard].awaited.clear()
 
-    patch.setattr(ShardReconciliation, "fence", fence)
+    patch.setattr(ShardReconciliation, "fence_shards", fence)
 
 
 def links_tell_only_what_is_new(patch):
     """4: a link that comes up brings no word of what was cancelled while it was down."""
-    patch.setattr(Cancellations, "all", lambda self: [])
+    patch.setattr(KnownCancellations, "all", lambda self: [])
 
 
 def members_alone_are_heard(patch):
     """4: whoever the term known here does not name is not asked for."""
-    real = Authority.heard_at
+    real = Authority.all_peers_heard_at
 
     def heard_at(self):
         named = [label for label in self._others if label in self._member.term.members]
@@ -206,7 +206,7 @@
             within.setattr(self, "_others", named)
             return real(self)
 
-    patch.setattr(Authority, "heard_at", heard_at)
+    patch.setattr(Authority, "all_peers_heard_at", heard_at)
 
 
 def non_members_are_silent(patch):
@@ -222,24 +222,24 @@
 
 def covers_what_it_left(patch):
     """3: a list counts as taken in although machines of it were not taken on."""
-    real = ShardReconciliation.cover
-    patch.setattr(ShardReconciliation, "cover", lambda self, asked_at, _left: real(self, asked_at, ()))
+    real = ShardReconciliation.apply_list
+    patch.setattr(ShardReconciliation, "apply_list", lambda self, asked_at, _left: real(self, asked_at, ()))
 
 
 def takes_on_what_boots_later(patch):
     """3: a home whose lease has ended hears machines that came up since."""
-    patch.setattr(Hearing, "_too_late", lambda self, machine: False)
+    patch.setattr(ReportProcessor, "_too_late", lambda self, machine: False)
 
 
 def back_is_sure_soon(patch):
     """3: whoever is back in its own place takes the short fence, whoever else may have been home before."""
-    real = Home.begin
-    patch.setattr(Home, "begin", lambda self, _short: real(self, True))
+    real = ShardLeader.begin
+    patch.setattr(ShardLeader, "begin", lambda self, _short: real(self, True))
 
 
 def terms_are_not_told(patch):
     """4: a term is learned from the state service alone, and hearing the others counts as being in touch."""
-    patch.setattr(Switchboard, "tell_term", lambda self, label: None)
+    patch.setattr(FrameRouter, "send_term", lambda self, label: None)
 
 
 @pytest.mark.parametrize(
@@ -282,7 +282,7 @@
     real = from_record
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(
-            "roadhead.jobs.book.from_record",
+            "roadhead.jobs.job_store.from_record",
             lambda record, owner, stamp: real({**record, "done": []}, owner, stamp),
         )
         assert any("ran anew" in fault for fault in World(text).run().check())
@@ -292,7 +292,7 @@
     """All controllers were away for longer than a lease: what their owners had accepted stays as it was."""
     text = mutation.text_of("hang-all-away")
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Book, "adopt", lambda self, items: None)
+        patch.setattr(JobStore, "take_over", lambda self, items: None)
         assert any("was told" in fault for fault in World(text).run().check())
 
 
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -15,7 +15,7 @@
     at 25 crash 2 500
     until 160
     """).run()
-    assert any("left_waiting: req-000002" in fault for fault in world.broken)
+    assert any("left_waiting: req-000002" in fault for fault in world.violations)
 
 
 def test_nothing_is_left_waiting_where_there_is_no_room():
@@ -25,7 +25,7 @@
     at 1 submit legs=40 runS=60 loaners=False
     until 200
     """).run()
-    assert world.broken == [] and world.users["req-000001"].told != "done"
+    assert world.violations == [] and world.users["req-000001"].last_state != "done"
 
 
 def test_a_mute_worker_keeps_no_lease_and_is_reached_by_commands():
@@ -35,6 +35,6 @@
     at 30 mute 1 40
     until 69
     """).run()
-    assert world.killed >= 4 and world.broken == []
+    assert world.killed >= 4 and world.violations == []
     muted = [worker for worker in world.cloud.rented.values() if worker.mute_until > 69]
     assert muted and all(worker.session > 1 for worker in muted)
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -86,12 +86,12 @@
 def test_an_end_at_any_step(kind, text, wanted, after):
     steps = 0
     while (world := ended_at(kind, text, steps, after, wanted)) is not None:
-        assert world.broken == [] and world.failures.texts == [], steps
+        assert world.violations == [] and world.failures.texts == [], steps
         assert world.counter("duties_failed") == 0 and world.state.oversized == 0
         cancelled = {"req-000008", "req-000009", "req-000010", "req-000011", "req-000012"}
         for job, user in world.users.items():
             wanted_end = "cancelled" if text == PIPELINES and job in cancelled else "done"
-            assert user.told == wanted_end, (steps, job, user.told)
+            assert user.last_state == wanted_end, (steps, job, user.last_state)
         if kind is Rolled:
             assert world.gate() == 4
         left = [key for key in world.state.data if key.startswith(("u/", "j/"))]
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -21,12 +21,12 @@
 from roadhead.telemetry import Counters
 from roadhead.tenants import admission, ids, records
 from roadhead.tenants import settings as hosted_settings
-from roadhead.tenants.desk import Desk
+from roadhead.tenants.admission_controller import TenantAdmissionController
 from roadhead.tenants.keys import Secrets, split_key
 from roadhead.tenants.preemption import Preemption
 from roadhead.tenants.removal import Removal
-from roadhead.tenants.table import Table
-from roadhead.tenants.teams import Sharing, TenantTeams, dominant
+from roadhead.tenants.table import TenantTable
+from roadhead.tenants.teams import FairShare, TenantTeams, dominant_share
 from roadhead.wire import frames, messages
 from roadhead.wire.http import Client
 
@@ -69,19 +69,19 @@
     ],
 )
 def test_records_that_contradict_themselves(change):
-    with pytest.raises(records.Contradiction):
+    with pytest.raises(records.InvalidTenantError):
         records.Tenant(**{"number": 1, "name": "kestrel", **change}).check()
 
 
 def test_transitions():
     active = tenant(keys=[records.Key(1, "d", ["read"])])
-    resting = records.transit(active, "suspend", "k", running="stop")
+    resting = records.transition(active, "suspend", "k", running="stop")
     assert (resting.state, resting.running, resting.version) == ("suspended", "stop", 2)
-    assert records.transit(resting, "suspend", running="stop") is resting
-    going = records.transit(resting, "remove")
+    assert records.transition(resting, "suspend", running="stop") is resting
+    going = records.transition(resting, "remove")
     assert going.state == "removing" and going.keys == []
-    assert records.transit(going, "resume") is None and records.transit(active, "bury") is None
-    gone = records.transit(going, "bury")
+    assert records.transition(going, "resume") is None and records.transition(active, "bury") is None
+    gone = records.transition(going, "bury")
     assert gone.to_record() == {
         "number": 1,
         "name": "kestrel",
@@ -128,9 +128,12 @@
 
 
 def test_one_tenant_never_takes_all_creations():
-    assert [admission.crowded(count, 8, False) is None for count in (0, 1, 2)] == [True, True, False]
-    assert [admission.crowded(count, 8, True) is None for count in (2, 3, 4)] == [True, True, False]
-    assert admission.crowded(0, 1, False) is None and admission.crowded(1, 1, True).status == 429
+    assert [admission.creation_refusal(count, 8, False) is None for count in (0, 1, 2)] == [True, True, False]
+    assert [admission.creation_refusal(count, 8, True) is None for count in (2, 3, 4)] == [True, True, False]
+    assert (
+        admission.creation_refusal(0, 1, False) is None
+        and admission.creation_refusal(1, 1, True).status == 429
+    )
 
 
 def test_creations_within_a_guarantee_are_written_first():
@@ -174,7 +177,7 @@
         for number, team in enumerate(("1/b", "1/b", "1/a", "1/b", "1/a"))
     ]
     for job in jobs:
-        recorder.mark(job, URGENT)
+        recorder.schedule_write(job, URGENT)
     assert [job.spec.team for job in recorder._batch()] == ["1/a", "1/a"]
 
 
@@ -227,9 +230,9 @@
 
     def __init__(self, team, count, need=(1.0, 0.0, 2.0)):
         self.spec = self
-        self.team, self.need, self.count, self.place = team, need, count, 5.0
-        self.sure = self.part = 0
-        self.later = 0.0
+        self.team, self.resources, self.count, self.queue_position = team, need, count, 5.0
+        self.within_guarantee = self.round_allowance = 0
+        self.borrowed_position = 0.0
 
     def startable(self):
         return self.count
@@ -237,7 +240,7 @@
 
 def sharing_of(teams, held):
     """`teams`: {tenant: (weight, {team: guarantee})}; `held`: {team in the service: cpus}."""
-    table = Table()
+    table = TenantTable()
     for number, (weight, own) in teams.items():
         record = records.Tenant(
             number,
@@ -245,20 +248,24 @@
             weight=weight,
             teams=[records.Team(name, cpus=cpus) for name, cpus in own.items()],
         )
-        table.take(records.key_of(number), record.to_record(), number)
+        table.take(records.tenant_key(number), record.to_record(), number)
     accounts = Accounts(TenantTeams(table))
     for name, cpus in held.items():
         account = accounts._accounts[name] = Account()
         account.held, account.tasks = (cpus, 0.0, 2 * cpus), 1
-    return Sharing(TenantTeams(table), accounts, lambda: (100.0, 0.0, 400.0), 1e6, 1e7), accounts
+    return FairShare(TenantTeams(table), accounts, lambda: (100.0, 0.0, 400.0), 1e6, 1e7), accounts
 
 
 def test_work_within_a_guarantee_comes_before_what_borrows():
-    sharing, _ = sharing_of({1: (1.0, {"a": 10}), 2: (1.0, {"b": 0})}, {"1/a": 7.0})
+    fair_share, _ = sharing_of({1: (1.0, {"a": 10}), 2: (1.0, {"b": 0})}, {"1/a": 7.0})
     sure, borrows = Waiting("1/a", 8), Waiting("2/b", 8)
-    sharing.arrange([borrows, sure])
-    assert (sure.sure, sure.part, sure.place) == (3, 3, 5.0) and sure.later >= 1e6
-    assert (borrows.sure, borrows.place) == (0, 1e6)
+    fair_share.assign_positions([borrows, sure])
+    assert (sure.within_guarantee, sure.round_allowance, sure.queue_position) == (
+        3,
+        3,
+        5.0,
+    ) and sure.borrowed_position >= 1e6
+    assert (borrows.within_guarantee, borrows.queue_position) == (0, 1e6)
 
 
 @fixed
@@ -274,12 +281,12 @@
     room = min(room, 100)
     for _ in range(room * 2):
         teams = {number: (weight, {"x": 0}) for number, weight in weights.items()}
-        sharing, _ = sharing_of(teams, held)
+        fair_share, _ = sharing_of(teams, held)
         jobs = [Waiting(name, 10_000) for name in held]
         rng.shuffle(jobs)
-        sharing.arrange(jobs)
-        first = min(jobs, key=lambda job: job.place)
-        count = min(first.part, room - int(sum(held.values())))
+        fair_share.assign_positions(jobs)
+        first = min(jobs, key=lambda job: job.queue_position)
+        count = min(first.round_allowance, room - int(sum(held.values())))
         if count <= 0:
             break
         held[first.team] += count
@@ -290,8 +297,8 @@
 
 
 def test_dominant_share():
-    assert dominant((10.0, 0.0, 100.0), (100.0, 0.0, 400.0)) == 0.25
-    assert dominant((1.0, 1.0, 0.0), (100.0, 0.0, 400.0)) == 1.0
+    assert dominant_share((10.0, 0.0, 100.0), (100.0, 0.0, 400.0)) == 0.25
+    assert dominant_share((1.0, 1.0, 0.0), (100.0, 0.0, 400.0)) == 1.0
 
 
 # Through gateways and controllers
@@ -540,8 +547,8 @@
             patch.setattr(Removal, name, stepping)
         world.run()
     assert taken >= step
-    assert world.broken == []
-    assert world.state.data[records.key_of(world.tenancy.numbers["laenuvara"])][0]["state"] == "removed"
+    assert world.violations == []
+    assert world.state.data[records.tenant_key(world.tenancy.numbers["laenuvara"])][0]["state"] == "removed"
     assert world.tenancy.left_of(world.tenancy.numbers["laenuvara"]) == []
     assert tenants_told(world, "kestrel", "done") == []
 
@@ -566,11 +573,11 @@
         world = World(f"{LATE}\nseed {seed}")
         with pytest.MonkeyPatch.context() as patch:
             if not guarded:
-                patch.setattr(Desk, "of", lambda self, job: None)
+                patch.setattr(TenantAdmissionController, "of", lambda self, job: None)
             world.run()
         number = world.tenancy.numbers["laenuvara"]
-        state = world.state.data[records.key_of(number)][0]["state"]
-        left.append(bool(world.tenancy.left_of(number)) or state != "removed" or bool(world.broken))
+        state = world.state.data[records.tenant_key(number)][0]["state"]
+        left.append(bool(world.tenancy.left_of(number)) or state != "removed" or bool(world.violations))
     assert any(left) != guarded
 
 
@@ -614,7 +621,7 @@
 def on_time(text, seed):
     """(p95 of the quiet tenant's deadline tasks' start, share of its jobs accepted within 1 s)."""
     world = World(f"{text}\nseed {seed}").run()
-    assert world.broken == []
+    assert world.violations == []
     quiet = [user for user in world.users.values() if user.tenant == "quiet"]
     starts = sorted(
         world.started.get(f"{user.id}/{index}", 1e9) - user.submitted_at
@@ -642,10 +649,11 @@
     """What the test above rests on: were all work alike, the critical flood would come first."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(
-            Sharing,
-            "arrange",
+            FairShare,
+            "assign_positions",
             lambda self, jobs: [
-                setattr(job, "part", 1 << 30) or setattr(job, "sure", job.startable()) for job in jobs
+                setattr(job, "round_allowance", 1 << 30) or setattr(job, "within_guarantee", job.startable())
+                for job in jobs
             ],
         )
         assert on_time(QUIET + FLOOD, 1)[0] > 1.5 * on_time(QUIET, 1)[0]
@@ -665,12 +673,12 @@
 
 def preemption_of(teams, running, patience=1.0):
     """`running`: [(team, machine, cpus, seconds since its start, save_s or None)], one job each."""
-    table = Table()
+    table = TenantTable()
     for number, own in teams.items():
         record = records.Tenant(
             number, f"t{number}", teams=[records.Team(name, cpus=cpus) for name, cpus in own.items()]
         )
-        table.take(records.key_of(number), record.to_record(), number)
+        table.take(records.tenant_key(number), record.to_record(), number)
     hosted = TenantTeams(table)
     accounts = Accounts(hosted)
     sim = Sim(1)
@@ -699,39 +707,39 @@
             0.0,
         )
         accounts.enter(job)
-        binding = job.bound[job.free.pop()] = Binding(machine, "a", number, "running", 100.0 - ran_s)
+        binding = job.bound[job.unstarted.pop()] = Binding(machine, "a", number, "running", 100.0 - ran_s)
         accounts.hold(job, binding)
 
     class Quota:
         def limited(self, team):
             return False
 
-    class Book:
+    class JobStore:
         stopped, quota = [], Quota()
 
         def stop(self, job, _index, binding):
             self.stopped.append((job.spec.team, binding.machine))
 
-    book, send = Book(), Frames()
-    book.stopped, book.accounts = [], accounts
-    sharing = Sharing(hosted, accounts, lambda: (100.0, 0.0, 400.0), 1e6, 1e7)
+    job_store, send = JobStore(), Frames()
+    job_store.stopped, job_store.accounts = [], accounts
+    fair_share = FairShare(hosted, accounts, lambda: (100.0, 0.0, 400.0), 1e6, 1e7)
     member = type("Member", (), {"term": type("Term", (), {"members": ("here", "there")})})
     counters = Counters()
     again = []
     preemption = Preemption(
-        sim, member, book, sharing, send, counters, lambda: again.append(sim.time), patience, 5.0
+        sim, member, job_store, fair_share, send, counters, lambda: again.append(sim.time), patience, 5.0
     )
-    return preemption, book, send, sim
+    return preemption, job_store, send, sim
 
 
 def reclaim(preemption, *rows):
     preemption.on_reclaim(
-        frames.Reclaim([(cpus, 0.0, cpus, count, True, zone, []) for cpus, count, zone in rows])
+        frames.ReclaimResources([(cpus, 0.0, cpus, count, True, zone, []) for cpus, count, zone in rows])
     )
 
 
 def test_the_least_work_of_who_is_furthest_ahead_is_stopped():
-    preemption, book, _send, _sim = preemption_of(
+    preemption, job_store, _send, _sim = preemption_of(
         {1: {"a": 0}, 2: {"b": 0}},
         [
             ("1/a", "m1", 1, 50, None),
@@ -741,15 +749,15 @@
         ],
     )
     reclaim(preemption, (1.0, 1, ""))
-    assert book.stopped == [("1/a", "m3")]  # it saves
+    assert job_store.stopped == [("1/a", "m3")]  # it saves
     reclaim(preemption, (1.0, 1, ""))
-    assert book.stopped[1:] == [("1/a", "m2")]  # the same task is not stopped twice
+    assert job_store.stopped[1:] == [("1/a", "m2")]  # the same task is not stopped twice
     reclaim(preemption, (1.0, 9, ""))
-    assert sorted(book.stopped[2:]) == [("1/a", "m1"), ("2/b", "m4")]
+    assert sorted(job_store.stopped[2:]) == [("1/a", "m1"), ("2/b", "m4")]
 
 
 def test_nothing_within_a_guarantee_stops_and_no_room_too_small_is_made():
-    preemption, book, _send, _sim = preemption_of(
+    preemption, job_store, _send, _sim = preemption_of(
         {1: {"a": 3, "b": 0}},
         [
             ("1/a", "m1", 1, 5, None),
@@ -760,17 +768,17 @@
         ],
     )
     reclaim(preemption, (2.0, 1, ""))  # two CPUs of one machine: only one is borrowed anywhere
-    assert book.stopped == []
+    assert job_store.stopped == []
     reclaim(preemption, (1.0, 5, "elsewhere"))
-    assert book.stopped == []
+    assert job_store.stopped == []
     reclaim(preemption, (1.0, 5, "a"))
-    assert len(book.stopped) == 2 and ("1/b", "m3") in book.stopped
+    assert len(job_store.stopped) == 2 and ("1/b", "m3") in job_store.stopped
 
 
 def test_room_is_asked_back_after_patience_once_and_of_who_borrows_most():
-    preemption, _book, send, sim = preemption_of({1: {"a": 8}}, [])
-    preemption.on_borrowed("here", frames.Borrowed(2.0, 0.0, 8.0))
-    preemption.on_borrowed("there", frames.Borrowed(3.0, 0.0, 9.0))
+    preemption, _job_store, send, sim = preemption_of({1: {"a": 8}}, [])
+    preemption.on_borrowed("here", frames.BorrowedResources(2.0, 0.0, 8.0))
+    preemption.on_borrowed("there", frames.BorrowedResources(3.0, 0.0, 9.0))
     waiting = Job(
         messages.JobSpec(
             "req-1",
@@ -793,7 +801,7 @@
         ("here", 1),
         0.0,
     )
-    waiting.sure = 4
+    waiting.within_guarantee = 4
     preemption.waits([waiting])
     assert send.sent == []
     sim.time += 1.5
@@ -820,7 +828,7 @@
 @pytest.mark.parametrize("preempt", [True, False])
 def test_a_guarantee_is_given_back_by_stopping_borrowed_work(preempt):
     world = World(TAKEN_BACK + f"preempt {int(preempt)}\n").run()
-    assert world.broken == [] and world.failures.texts == []
+    assert world.violations == [] and world.failures.texts == []
     started = sorted(
         when - 40 for task, when in world.started.items() if world.job_of(task)["tenant"] == "owner"
     )
@@ -845,17 +853,17 @@
 at 30 submit tenant=two id=a count=30 every=2 legs=2 runS=4
 until 110
 """)
-    wardens = []
+    quota_leaders = []
 
     def end_one():
         term = next(iter(world.nodes.values())).member.term
-        wardens.extend(term.warden(str(world.tenancy.numbers[name])) for name in ("one", "two"))
-        world.crash(world.labels.index(wardens[0]), 40.0)
+        quota_leaders.extend(term.quota_leader(str(world.tenancy.numbers[name])) for name in ("one", "two"))
+        world.crash(world.labels.index(quota_leaders[0]), 40.0)
         world.do(["cut", "odd-workers", "peers", "9", "hold"])
 
     world.sim.call_at(50.0, end_one)
     world.run()
-    assert world.broken == [] and wardens[0] != wardens[1]
+    assert world.violations == [] and quota_leaders[0] != quota_leaders[1]
     started = {
         name: [
             when
@@ -953,7 +961,7 @@
 until 45
 """)
     world.run()
-    assert world.broken == []
+    assert world.violations == []
     behind = [line for node in world.nodes.values() for line in node.summary()["behind"]]
     assert any("nothing of its tenant or team may start now" in line for line in behind), behind
     assert not any("limit is reached" in line for line in behind)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,8 +11,8 @@
 from roadhead.gateway.types import Submission
 from roadhead.local import cluster as local
 from roadhead.local.world import World
-from roadhead.membership import gate
-from roadhead.membership.gate import BEFORE, Gate, following
+from roadhead.membership import format_gate
+from roadhead.membership.format_gate import FIRST_FORMAT, FormatGate, next_record
 
 
 class Rolled(World):
@@ -49,8 +49,8 @@
         super().do(words)
 
     def gate(self):
-        record = self.state.data.get(gate.GATE)
-        return record[0]["format"] if record is not None else BEFORE
+        record = self.state.data.get(format_gate.GATE)
+        return record[0]["format"] if record is not None else FIRST_FORMAT
 
 
 LIMITS = "next_value_kb 2\nnext_txn_ops 5\nnext_write_rps 15\nwrite_rps 20\nrps 150\nvalue_kb 8\n"
@@ -87,9 +87,9 @@
     for at in (14.0, 24.0, 34.0, 43.0):
         world.sim.call_at(at, lambda: gates.append(world.gate()))
     world.run()
-    assert world.broken == [] and world.failures.texts == []
-    assert {user.told for user in world.users.values()} == {"done"}
-    assert gates == [BEFORE, BEFORE, BEFORE, 4]
+    assert world.violations == [] and world.failures.texts == []
+    assert {user.last_state for user in world.users.values()} == {"done"}
+    assert gates == [FIRST_FORMAT, FIRST_FORMAT, FIRST_FORMAT, 4]
     assert world.state.oversized == 0 and world.counter("duties_failed") == 0
 
 
@@ -119,7 +119,7 @@
     expect told done all
     """).run()
     assert world.check() == []
-    assert len(world.nodes[1].member.term.wardens) == 12
+    assert len(world.nodes[1].member.term.quota_leaders) == 12
 
 
 def test_before_the_gate_what_is_new_is_refused_at_once_and_nothing_of_it_is_written():
@@ -143,9 +143,9 @@
     for at in (35.0, 50.0, 70.0):
         world.sim.call_at(at, look)
     world.run()
-    assert seen == [(BEFORE, 0)] * 3
-    assert world.broken == [] and world.failures.texts == []
-    assert {user.told for user in world.users.values()} == {"done"}
+    assert seen == [(FIRST_FORMAT, 0)] * 3
+    assert world.violations == [] and world.failures.texts == []
+    assert {user.last_state for user in world.users.values()} == {"done"}
     assert world.counter("refused_submission_format_gate") > 0 and world.gate() == 4
 
 
@@ -200,7 +200,7 @@
 
 def played(seed):
     world = Rolled(drawn(seed)).run()
-    faults = [*world.broken, *world.failures.texts[:2]]
+    faults = [*world.violations, *world.failures.texts[:2]]
     if world.gate() != 4:
         faults.append(f"format {world.gate()} is in force")
     if world.counter("duties_failed"):
@@ -208,9 +208,9 @@
     if world.state.oversized:
         faults.append(f"{world.state.oversized} writes were too large")
     return faults + [
-        f"{job}: {user.told}"
+        f"{job}: {user.last_state}"
         for job, user in world.users.items()
-        if user.accepted and user.told not in ("done", "cancelled")
+        if user.accepted and user.last_state not in ("done", "cancelled")
     ]
 
 
@@ -261,7 +261,7 @@
         submit("second", upstream=["first"])
         submit("third", upstream=["first", "second"], due_s=60.0)
         until(lambda: all(done(own) for own in ("third", *(f"before{number}" for number in range(6)))))
-        with pytest.raises(local.Failed, match=r"upstream: nowhere was never accepted"):
+        with pytest.raises(local.ClusterError, match=r"upstream: nowhere was never accepted"):
             submit("fourth", upstream=["nowhere"])
     finally:
         cluster.stop()
@@ -269,19 +269,19 @@
 
 def test_the_gate_opens_once_every_configured_member_was_seen_new():
     labels = ["a", "b", "c"]
-    record = following(None, labels, {"a": 4, "b": 3}, 4, 10.0)
-    assert record == {"format": BEFORE, "seen": {"a": [4, 10.0], "b": [3, 10.0]}}
-    assert following(record, labels, {"a": 4, "b": 3}, 4, 11.0) is None
-    record = following(record, labels, {"a": 4, "b": 4}, 4, 12.0)
-    assert record["format"] == BEFORE  # c was never seen, and may come back old
-    old = following(record, labels, {"a": 4, "b": 4, "c": 3}, 4, 13.0)
-    assert old["seen"]["c"] == [3, 13.0] and old["format"] == BEFORE
+    record = next_record(None, labels, {"a": 4, "b": 3}, 4, 10.0)
+    assert record == {"format": FIRST_FORMAT, "seen": {"a": [4, 10.0], "b": [3, 10.0]}}
+    assert next_record(record, labels, {"a": 4, "b": 3}, 4, 11.0) is None
+    record = next_record(record, labels, {"a": 4, "b": 4}, 4, 12.0)
+    assert record["format"] == FIRST_FORMAT  # c was never seen, and may come back old
+    old = next_record(record, labels, {"a": 4, "b": 4, "c": 3}, 4, 13.0)
+    assert old["seen"]["c"] == [3, 13.0] and old["format"] == FIRST_FORMAT
     # a was seen new and is away: it comes back as it was seen. One that went back counts as old again.
-    assert following(old, labels, {"b": 4, "c": 4}, 4, 14.0)["format"] == 4
-    assert following(old, labels, {"a": 3, "b": 4, "c": 4}, 4, 14.0)["format"] == BEFORE
+    assert next_record(old, labels, {"b": 4, "c": 4}, 4, 14.0)["format"] == 4
+    assert next_record(old, labels, {"a": 3, "b": 4, "c": 4}, 4, 14.0)["format"] == FIRST_FORMAT
     # Somebody old that the settings do not name is a member all the same.
-    assert following(old, labels, {"a": 4, "b": 4, "c": 4, "d": 3}, 4, 14.0)["format"] == BEFORE
-    assert following({"format": 4, "seen": {}}, labels, {}, 4, 15.0) is None
+    assert next_record(old, labels, {"a": 4, "b": 4, "c": 4, "d": 3}, 4, 14.0)["format"] == FIRST_FORMAT
+    assert next_record({"format": 4, "seen": {}}, labels, {}, 4, 15.0) is None
 
 
 def test_a_version_older_than_what_is_in_force_touches_nothing():
@@ -292,11 +292,11 @@
     at 60 submit legs=2 runS=5
     until 120
     """)
-    world.sim.call_at(39.0, lambda: world.state.put(gate.GATE, {"format": 5, "seen": {}}))
+    world.sim.call_at(39.0, lambda: world.state.put(format_gate.GATE, {"format": 5, "seen": {}}))
     before = []
     world.sim.call_at(39.9, lambda: before.append(dict(world.state.data)))
     world.run()
-    assert world.broken == []
+    assert world.violations == []
     node = world.nodes[0]
     assert not node.member.joined and not node.ready()
     assert {key: entry for key, entry in world.state.data.items() if key.startswith("j/")} == {
@@ -305,11 +305,11 @@
 
 
 def test_what_the_gate_tells_operators():
-    known = Gate(4, ["a", "b"])
-    known.take({"format": BEFORE, "seen": {"a": [4, 100.0]}}, 7)
+    known = FormatGate(4, ["a", "b"])
+    known.take({"format": FIRST_FORMAT, "seen": {"a": [4, 100.0]}}, 7)
     known.take({"format": 4, "seen": {}}, 6)  # older word changes nothing
-    assert known.told(130.0) == {
-        "format": BEFORE,
+    assert known.describe(130.0) == {
+        "format": FIRST_FORMAT,
         "open": False,
         "knows": 4,
         "members": [
@@ -338,8 +338,8 @@
     world.sim.call_at(40.0, lambda: world.user_loop.spawn(ask(), "ask"))
     world.run()
     assert answers == [503, 503] and world.state.data["j/req-000777"][0] == record
-    assert world.broken == [] and world.counter("duties_failed") == 0
-    assert {user.told for user in world.users.values()} == {"done"}
+    assert world.violations == [] and world.counter("duties_failed") == 0
+    assert {user.last_state for user in world.users.values()} == {"done"}
 
 
 def test_an_empty_upstream_is_none_also_before_the_gate():
@@ -354,6 +354,6 @@
     world.sim.call_at(14.0, lambda: world.jobs["req-000003"].update(upstream=[]))
     world.fronts_for = lambda _job: world.fronts[:1]
     world.run()
-    assert world.broken == [] and world.gate() == BEFORE
-    assert {user.told for user in world.users.values()} == {"done"}
+    assert world.violations == [] and world.gate() == FIRST_FORMAT
+    assert {user.last_state for user in world.users.values()} == {"done"}
     assert world.nodes[0].counters.counts.get("refused_submission_format_gate", 0) == 0
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,10 +10,10 @@
 
 from roadhead import cli
 from roadhead.jobs.job import Job
-from roadhead.jobs.ranges import Pool, Ranges
+from roadhead.jobs.ranges import Ranges, TaskPool
 from roadhead.settings import SettingsError, parse, parse_tuning
 from roadhead.wire import frames, messages
-from roadhead.wire.http import MAX_BODY, MAX_HEAD, BadMessage, Parser, request_bytes
+from roadhead.wire.http import MAX_BODY, MAX_HEAD, HttpMessageError, Parser, request_bytes
 
 fixed = settings(derandomize=True, database=None, max_examples=150, deadline=None)
 
@@ -62,7 +62,7 @@
         for at in range(0, len(data), step):
             parser.feed(data[at : at + step])
             parser.next()
-    except BadMessage as bad:
+    except HttpMessageError as bad:
         assert bad.status in (400, 413, 431)
 
 
@@ -96,7 +96,7 @@
 def test_http_refuses(data, status):
     parser = Parser()
     parser.feed(data)
-    with pytest.raises(BadMessage) as caught:
+    with pytest.raises(HttpMessageError) as caught:
         parser.next()
     assert caught.value.status == status
 
@@ -109,11 +109,11 @@
 @given(st.lists(st.tuples(texts, texts, counts, counts), max_size=5), counts, st.integers(1, 30))
 def test_frames_survive_any_cut(rows, number, step):
     sent = [
-        frames.Sync(number, 1, [row[0] for row in rows], rows),
-        frames.Start(1, "m", number, "j", [(1, number)], 0, 1.0, 0.0, 2.5, "img", 0.9, 0.0, True, False),
+        frames.ReconcileRequest(number, 1, [row[0] for row in rows], rows),
+        frames.StartTasks(1, "m", number, "j", [(1, number)], 0, 1.0, 0.0, 2.5, "img", 0.9, 0.0, True, False),
     ]
     data = b"".join(frame.encode() for frame in sent)
-    splitter = frames.Splitter()
+    splitter = frames.FrameDecoder()
     found = []
     for at in range(0, len(data), step):
         splitter.feed(data[at : at + step])
@@ -124,11 +124,11 @@
 @fixed
 @given(st.binary(min_size=1, max_size=200))
 def test_frame_garbage_ends_in_bad_frame_only(data):
-    splitter = frames.Splitter()
+    splitter = frames.FrameDecoder()
     splitter.feed(data)
     try:
         assert all(isinstance(frame, frames.Frame) for frame in splitter.frames())
-    except frames.BadFrame:
+    except frames.FrameError:
         pass
 
 
@@ -142,7 +142,7 @@
         known.add(number)
     assert ranges.count == len(known)
     assert [n for n in range(61) if n in ranges] == sorted(known)
-    pool = Pool(ranges, 61)
+    pool = TaskPool(ranges, 61)
     free = [n for n in range(61) if n not in known]
     assert [n for n in range(61) if n in pool] == free
     taken = free[::2]
@@ -190,18 +190,18 @@
     ],
 )
 def test_bad_jobs_are_invalid(change):
-    with pytest.raises(messages.Invalid):
-        messages.read(cbor2.dumps({**JOB, **change}), messages.JobSpec).check()
+    with pytest.raises(messages.InvalidMessageError):
+        messages.decode_as(cbor2.dumps({**JOB, **change}), messages.JobSpec).check()
 
 
 @pytest.mark.parametrize("name", sorted(JOB.keys() - {"kit"}))
 def test_missing_fields_are_invalid(name):
-    with pytest.raises(messages.Invalid):
-        messages.read(cbor2.dumps({k: v for k, v in JOB.items() if k != name}), messages.JobSpec)
+    with pytest.raises(messages.InvalidMessageError):
+        messages.decode_as(cbor2.dumps({k: v for k, v in JOB.items() if k != name}), messages.JobSpec)
 
 
 def test_unknown_fields_are_ignored_and_null_may_be_left_out():
-    spec = messages.read(cbor2.dumps({**JOB, "colour": "red"}), messages.JobSpec)
+    spec = messages.decode_as(cbor2.dumps({**JOB, "colour": "red"}), messages.JobSpec)
     spec.check()
     assert (spec.types, spec.zone, spec.due_s, spec.cpus) == (None, None, None, 1.0)
 
@@ -210,8 +210,8 @@
 @given(st.binary(max_size=200))
 def test_cbor_garbage_is_invalid(data):
     try:
-        messages.read(data, messages.Report).check()
-    except messages.Invalid:
+        messages.decode_as(data, messages.Report).check()
+    except messages.InvalidMessageError:
         return
     raise AssertionError("random bytes made a report")
 
@@ -298,7 +298,7 @@
 @pytest.mark.parametrize("upstream", ["req-1", [7], ["job"], ["req-"], [None], {"req-1": True}, ["req-1 "]])
 def test_bad_upstream_is_malformed(upstream):
     body = messages.decode(messages.encode({**JOB, "upstream": upstream}))
-    with pytest.raises(messages.Invalid):
+    with pytest.raises(messages.InvalidMessageError):
         messages.parse(body, messages.JobSpec).check()
 
 
--- a/tests/test_worker_leases.py
+++ b/tests/test_worker_leases.py
@@ -26,8 +26,8 @@
         self.node, self.machine = next(
             (node, machine)
             for node in self.world.nodes.values()
-            for machine in node.home.machines.values()
-            if machine.tasks and machine.confirmed == machine.token
+            for machine in node.shard_leader.machines.values()
+            if machine.tasks and machine.confirmed_token == machine.token
         )
         self.worker = self.world.cloud.rented[self.machine.id]
         self.world.sim.time += 0.5  # nothing runs meanwhile
@@ -38,7 +38,7 @@
     def observe(self, report):
         """The home takes in the answer to a direct command."""
         direct = messages.parse(report, messages.Report)
-        return self.node.home.hearing.observe(self.machine, direct)
+        return self.node.shard_leader.report_processor.observe(self.machine, direct)
 
     def answer(self, report):
         """The home's answer to a report."""
@@ -150,9 +150,9 @@
 
 def test_a_report_of_a_machine_that_is_gone_is_not_answered(heard):
     report = heard.worker.report()
-    heard.node.home.machine_gone(heard.machine, "released")
+    heard.node.shard_leader.machine_gone(heard.machine, "released")
     assert heard.answer(report).status == 503
-    assert heard.machine.id not in heard.node.home.machines
+    assert heard.machine.id not in heard.node.shard_leader.machines
 
 
 def test_a_task_of_an_attempt_that_is_not_known_is_found_not_taken_for_another(heard):
@@ -170,8 +170,8 @@
     with pytest.MonkeyPatch.context() as patch:
         overtaken_answers_not_counted(patch)
         world = World(text_of("overtaken-reports")).run()
-    assert "ran_twice" in world.broken[0]
-    task, first, second = (world.broken[0].split()[place] for place in (2, 4, 6))
+    assert "ran_twice" in world.violations[0]
+    task, first, second = (world.violations[0].split()[place] for place in (2, 4, 6))
     entries = [entry for entry, _label in world.explanations[0]]
 
     def newest(decision, machine, **evidence):
--- a/tests/test_write_path.py
+++ b/tests/test_write_path.py
@@ -6,20 +6,20 @@
 import cbor2
 import pytest
 
-from roadhead.jobs.guards import NO_GUARDS
-from roadhead.jobs.job import KEY, SHELF, Job
+from roadhead.jobs.creation_guards import NO_GUARDS
+from roadhead.jobs.job import ARCHIVE, KEY, Job
 from roadhead.jobs.ranges import Ranges
 from roadhead.jobs.recorder import Recorder
-from roadhead.jobs.transactions import LANES, Entry, Lanes
+from roadhead.jobs.transactions import LANES, RecordWrite, TransactionPacer
 from roadhead.jobs.write_queue import LATER, URGENT
 from roadhead.local.sim import Sim
-from roadhead.local.user import User
+from roadhead.local.user import EmulatedUser
 from roadhead.local.world import World
 from roadhead.membership.member import TERM
 from roadhead.runtime.loop import Future
 from roadhead.runtime.rate import Bucket
-from roadhead.state.client import Conflict, Unsure
-from roadhead.state.latency import AnswerTimes
+from roadhead.state.client import ConflictError, UnknownOutcomeError
+from roadhead.state.latency import ResponseTimeEstimator
 from roadhead.telemetry import Counters
 from roadhead.wire import messages
 
@@ -27,35 +27,35 @@
 
 
 def test_the_wait_for_an_answer_follows_from_those_seen():
-    answers = AnswerTimes(3.0)
+    answers = ResponseTimeEstimator(3.0)
     assert answers.timeout_s == 1.0
     for _ in range(50):
-        answers.seen(0.005)
+        answers.record_answer(0.005)
     assert answers.timeout_s == pytest.approx(0.1)  # not below the process's own pauses
     for _ in range(50):
-        answers.seen(random.Random(1).uniform(0.2, 0.3))
+        answers.record_answer(random.Random(1).uniform(0.2, 0.3))
     assert 0.2 < answers.late_s < 0.6
 
 
 def test_a_slow_state_service_is_not_taken_for_one_that_loses_answers():
-    answers = AnswerTimes(3.0)
-    answers.seen(0.005)
+    answers = ResponseTimeEstimator(3.0)
+    answers.record_answer(0.005)
     tries = 0
     while answers.timeout_s < 0.7:  # each answer takes that long from now on
-        answers.lost()
+        answers.record_timeout()
         tries += 1
     assert tries <= 4 and answers.late_s < 0.2
-    answers.seen(0.7)
+    answers.record_answer(0.7)
     assert 0.7 < answers.late_s == answers.timeout_s
     for _ in range(20):
-        answers.lost()
+        answers.record_timeout()
     assert answers.timeout_s == 3.0
 
 
 def test_a_late_answer_holds_up_nothing_and_an_early_one_makes_batches():
     sim = Sim(1)
-    lanes = Lanes(sim, answers := AnswerTimes(3.0))
-    answers.seen(0.01)
+    lanes = TransactionPacer(sim, answers := ResponseTimeEstimator(3.0))
+    answers.record_answer(0.01)
     began = []
     outcomes = [Future() for _ in range(LANES + 2)]
 
@@ -98,8 +98,8 @@
         self.data, self.epoch = {TERM: ({}, 1)}, 1
         self.limits = type("Limits", (), {"txn_ops": 16, "value_bytes": 8192})
         self.writes = Bucket(sim, 1000.0, burst)
-        self.answers = AnswerTimes(3.0)
-        self.answers.seen(0.001)
+        self.answers = ResponseTimeEstimator(3.0)
+        self.answers.record_answer(0.001)
 
     async def send(self, conditions, writes):
         outcome = next(self._outcomes, "answered")
@@ -112,9 +112,9 @@
             await self._sim.sleep(LATE_S)
         elif outcome != "answered":
             await self._sim.sleep(LOST_S)
-            raise Unsure
+            raise UnknownOutcomeError
         if failed:
-            raise Conflict(failed)
+            raise ConflictError(failed)
         return revision
 
     def _carry_out(self, body):
@@ -131,17 +131,17 @@
 
     def stored(self, job):
         """(record, stamp) of the job; no stamp for one on the shelf, which nobody writes any more."""
-        record, _stamp = self.data.get(SHELF + job.id, (None, 0))
+        record, _stamp = self.data.get(ARCHIVE + job.id, (None, 0))
         return (record, 0) if record else self.data[KEY + job.id]
 
     async def get(self, key):
         await self._sim.sleep(0.002)
         return self.data.get(key, (None, 0))
 
-    async def unchanged(self, conditions):
+    async def check_conditions(self, conditions):
         await self._sim.sleep(0.002)
         if failed := [key for key, stamp in conditions if self.data.get(key, (None, 0))[1] != stamp]:
-            raise Conflict(failed)
+            raise ConflictError(failed)
 
 
 def new_job(number):
@@ -161,7 +161,7 @@
             faults.append(f"{job.id} is called {state} under {job.stamp}, and is {record['s']} under {stamp}")
         elif state == "done":
             over.add(job)
-            recorder.unmark(job)
+            recorder.cancel_write(job)
         elif not set(range(TASKS)).intersection(recorded_in(recorded)) <= recorded_in(Ranges(record["done"])):
             faults.append(f"{job.id}: tasks are called recorded that are not")
 
@@ -171,13 +171,13 @@
     def conflict(job, record, stamp):
         job.stamp = stamp
         if record["s"] == "done":
-            recorder.unmark(job)
+            recorder.cancel_write(job)
             over.add(job)
 
     def done(job, index):
         job.done.add(index)
         job.state = "done" if job.complete() else "open"
-        recorder.mark(job, URGENT if job.complete() else LATER)
+        recorder.schedule_write(job, URGENT if job.complete() else LATER)
 
     member = type("Member", (), {"revision": 1})
     recorder = Recorder(
@@ -186,7 +186,7 @@
     for duty in (recorder.run, recorder.check):
         sim.spawn(duty(), duty.__name__)
     for number, job in enumerate(jobs):
-        sim.call_later(0.03 * number, recorder.mark, job, URGENT)
+        sim.call_later(0.03 * number, recorder.schedule_write, job, URGENT)
         for index in range(TASKS):
             sim.call_later(0.13 + 0.17 * index + 0.03 * number, done, job, index)
     sim.run_until(5.0)
@@ -208,18 +208,18 @@
 
 def two_writes_of_a_job_under_way(patch):
     """A job is marked while its write is under way, and is in the next transaction at once."""
-    real = Recorder.mark
+    real = Recorder.schedule_write
 
     def mark(self, job, urgency):
         self._in_flight.pop(job, None)
         real(self, job, urgency)
 
-    patch.setattr(Recorder, "mark", mark)
+    patch.setattr(Recorder, "schedule_write", mark)
 
 
 def any_record_taken_for_the_one_sent(patch):
     """An earlier try with other content was carried out, and the last one is called written."""
-    patch.setattr(Entry, "is_stored_as", lambda self, record: True)
+    patch.setattr(RecordWrite, "is_stored_as", lambda self, record: True)
 
 
 @pytest.mark.parametrize("mutate", [two_writes_of_a_job_under_way, any_record_taken_for_the_one_sent])
@@ -232,7 +232,7 @@
 # Users meanwhile
 
 
-class TimedUser(User):
+class TimedUser(EmulatedUser):
     """Notes how long it took until its job was accepted."""
 
     accepted_after = None
@@ -265,9 +265,9 @@
 def served(seconds, *troubles):
     """The users of a stream during these troubles."""
     world = TimedWorld(stream(seconds, *troubles)).run()
-    assert world.broken == []
+    assert world.violations == []
     assert [user.id for user in world.users.values() if not user.accepted] == []
-    assert {user.told for user in world.users.values()} == {"done", "cancelled"}
+    assert {user.last_state for user in world.users.values()} == {"done", "cancelled"}
     return list(world.users.values())
 
 
--- a/tests/write_faults.py
+++ b/tests/write_faults.py
@@ -251,8 +251,8 @@
             continue
         if not user.accepted and not user.gave_up and job not in world.refusals:
             yield f"{job} was never answered"
-        elif user.accepted and user.told not in FINAL:
-            yield f"{job} is {user.told}"
+        elif user.accepted and user.last_state not in FINAL:
+            yield f"{job} is {user.last_state}"
         elif user.gave_up:
             yield f"the user of {job} gave up"
     for key, (record, *_rest) in world.state.data.items():
--- a/tests/write_kinds.py
+++ b/tests/write_kinds.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from roadhead.jobs.job import KEY, SHELF
-from roadhead.membership.gate import GATE
+from roadhead.jobs.job import ARCHIVE, KEY
+from roadhead.membership.format_gate import GATE
 from roadhead.membership.member import CANCEL, MEMBER, TENANT, TERM
-from roadhead.pipelines.parts import PARTS
+from roadhead.pipelines.upstream_parts import PARTS
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
         """Returns the ids of open jobs that this write makes done, in their records or in the archive."""
         return {
             key[len(prefix) :]
-            for prefix in (KEY, SHELF)
+            for prefix in (KEY, ARCHIVE)
             for key, new in self.puts_under(prefix)
             if new["s"] == "done" and (self.stored(KEY + key[len(prefix) :]) or {}).get("s") == "open"
         }
@@ -67,7 +67,7 @@
         "rel" in new and "rel" not in old for old, new in write.rewritten_open_jobs()
     ),
     "mark dropped": lambda write: write.deletes_under(CANCEL),
-    "archive": lambda write: len(write.puts_under(SHELF)) > len(write.completed_jobs()),
+    "archive": lambda write: len(write.puts_under(ARCHIVE)) > len(write.completed_jobs()),
     "join": lambda write: TERM in write.puts and bool(write.puts_under(MEMBER)),
     "drop": lambda write: TERM in write.puts and any(key.startswith(MEMBER) for key in write.conditions),
     "leave": lambda write: TERM in write.puts and write.deletes_under(MEMBER),
@@ -81,6 +81,6 @@
     "parts collected": lambda write: write.deletes_under(PARTS),
     "tenant": lambda write: bool(write.puts_under(TENANT)),
     "tenant removed": lambda write: (
-        bool(write.deletes) and not write.puts and write.deletes_under((KEY, SHELF))
+        bool(write.deletes) and not write.puts and write.deletes_under((KEY, ARCHIVE))
     ),
 }
