--- a/roadhead/jobs/creation_check.py
+++ b/roadhead/jobs/creation_check.py
@@ -90,7 +90,7 @@
             self._unchecked.set()
 
     async def _compare(self, batch):
-        """Raises Conflict unless none of these jobs has a record."""
+        """Raises ConflictError unless none of these jobs has a record."""
         conditions = [(prefix + job.id, 0) for job in batch for prefix in (KEY, ARCHIVE)]
         for left in reversed(range(MAX_ATTEMPTS)):
             try:
--- a/roadhead/jobs/deadline_risk.py
+++ b/roadhead/jobs/deadline_risk.py
@@ -9,11 +9,11 @@
 class DeadlineTracker:
     """Tracks the deadlines of the jobs of this controller.
 
-    `aims` maps a class to its tightest target in seconds, `classes` are those that are always listed.
+    `targets` maps a class to its tightest target in seconds, `classes` are those that are always listed.
     """
 
-    def __init__(self, aims, classes):
-        self._aims = aims
+    def __init__(self, targets, classes):
+        self._targets = targets
         self._classes = classes
         self._done = {}
         self._late = {}
@@ -27,8 +27,8 @@
         """
         if job.spec.due_s is not None:
             return job.accepted_at + job.spec.due_s
-        aim = self._aims.get(job.spec.klass)
-        return job.released_at + aim if aim is not None else None
+        target = self._targets.get(job.spec.klass)
+        return job.released_at + target if target is not None else None
 
     def finished(self, job, now):
         """Counts a job that is done, and whether it was late."""
--- a/roadhead/jobs/job.py
+++ b/roadhead/jobs/job.py
@@ -124,8 +124,8 @@
         # For a gang (dispatch/gangs.py): the number of tasks for which room is reserved, and since when.
         self.reserved_tasks, self.reserving_since = 0, 0.0
         needs = (spec.cpus, spec.gpus, spec.memory, spec.spot, spec.zone or "", tuple(spec.types or ()))
-        # Jobs of one room shape fit on the same machines. A job whose tasks depend on each other's zones has
-        # a room shape of its own.
+        # Jobs with the same placement key fit on the same machines. A job whose tasks depend on each other's
+        # zones has a key of its own.
         alone = spec.one_zone or spec.spread or self.gang
         self.placement_key = (*needs, spec.team, spec.id if alone else "")
         self.shape = (self.rank, *needs, spec.klass)
--- a/roadhead/jobs/job_store.py
+++ b/roadhead/jobs/job_store.py
@@ -43,10 +43,9 @@
         on_finished: `on_finished(job, time_of_day)` is called when a job owned here is durably done.
         teams: the teams and their limits.
         on_orphan: called with a job accepted here that its quota leader has to take over.
-        shelve: `shelve(job_id, final_record, stamp)` queues a final record for the move to the archive.
-        make_dependency_queue: builds the dependency tracking (`pipelines/dependency_queue.py`) for this
-        object. parts: stores dependency lists that are too long for one record
-        (`pipelines/upstream_parts.py`).
+        archive: `archive(job_id, final_record, stamp)` queues a final record for the move to the archive.
+        make_dependency_queue: builds the `DependencyQueue` of this object.
+        parts: stores dependency lists that are too long for one record (`UpstreamParts`).
     """
 
     def __init__(
@@ -62,7 +61,7 @@
         on_finished,
         teams,
         on_orphan,
-        shelve,
+        archive,
         make_dependency_queue,
         parts,
     ):
@@ -77,7 +76,7 @@
         self.accounts = Accounts(teams)
         self.quota = QuotaPartitions(loop, member, teams, self.accounts)
         self._on_orphan = on_orphan
-        self._shelve = shelve
+        self._archive = archive
         self.jobs = {}  # open jobs owned here, by id
         self.started_at = {}  # class -> when a task of it was last started, on the loop's clock
         self.jobs_seen = {}  # class -> number of its jobs ever owned here
@@ -96,7 +95,7 @@
         # Ids in `_being_created` that another controller has read and cancelled
         self._cancelled_early = set()
         # Jobs being taken over whose record does not name this owner yet; an ordered set.
-        self._adopting = {}
+        self._taking_over = {}
         self._attempts = 0
         self._without_owner = []  # accepted while quota partitions were closing
         # Id -> Job cancelled with one of its dependencies, whose final record is not yet written
@@ -148,21 +147,22 @@
         job.parts, job.creation_condition = written
         self.recorder.schedule_write(job, URGENT)
 
-    def arriving_jobs(self, on_word):
+    def arriving_jobs(self, max_unconfirmed_cpus):
         """Returns the jobs whose tasks will soon wait here, for the rental of machines.
 
         These are creations found to be new and jobs being taken over. A submission by itself is no reason to
         rent machines: it may be a retry of a job that ended long ago. Only while nobody can tell which
-        creations are new, unconfirmed ones with up to `on_word` CPUs in total are counted as well.
+        creations are new, unconfirmed ones with up to `max_unconfirmed_cpus` CPUs in total are counted as
+        well.
         """
         unconfirmed = []
         for job in self._being_created.values() if self.recorder.newness_unknown else ():
             cpus = job.spec.cpus * len(job.unstarted)
-            if job not in self.recorder.confirmed_new and cpus <= on_word and not job.is_waiting:
-                on_word -= cpus
+            if job not in self.recorder.confirmed_new and cpus <= max_unconfirmed_cpus and not job.is_waiting:
+                max_unconfirmed_cpus -= cpus
                 unconfirmed.append(job)
-        fresh = [job for job in self.recorder.confirmed_new if not job.is_waiting]
-        return [*fresh, *unconfirmed, *{**self._adopting, **self.reconciliation.inherited}]
+        confirmed_new = [job for job in self.recorder.confirmed_new if not job.is_waiting]
+        return [*confirmed_new, *unconfirmed, *{**self._taking_over, **self.reconciliation.inherited}]
 
     def _finish_creation(self, job):
         """Ends a creation whose outcome is known. Returns the Future that waits for it, or None.
@@ -200,7 +200,7 @@
         if pending is not None:
             pending.set(self._accept(job))
             return
-        if self._adopting.pop(job, False):
+        if self._taking_over.pop(job, False):
             self._on_taken_over(job)
             self._changed()
         if state in FINAL:
@@ -226,7 +226,9 @@
 
         Jobs being created, taken over or waiting for their dependencies count as jobs of their partition.
         """
-        groups = {self.teams.group(job.spec.team) for job in (*self._being_created.values(), *self._adopting)}
+        groups = {
+            self.teams.group(job.spec.team) for job in (*self._being_created.values(), *self._taking_over)
+        }
         groups |= {self.teams.group(team) for team in self.dependency_queue.dependencies.by_team}
         return self.quota.idle({*groups, *self.accounts.groups()})
 
@@ -265,7 +267,7 @@
         announced it.
         """
         self.remember_final(job.id, record)
-        self._shelve(job.id, record, job.stamp)
+        self._archive(job.id, record, job.stamp)
         self.recorder.cancel_write(job)
         if not counted:
             self.dependency_queue.announce_end(job.id, record)
@@ -330,8 +332,8 @@
             return
         if mine:
             job.stamp = stamp
-            return  # still marked, so it is written again under the new stamp
-        if (job in self._adopting or job.id in self._upstream_cancelled) and not self._member.term.serves(
+            return  # still scheduled, so it is written again under the new stamp
+        if (job in self._taking_over or job.id in self._upstream_cancelled) and not self._member.term.serves(
             *record["o"]
         ):
             job.stamp = stamp
@@ -348,7 +350,7 @@
 
     def _stop_takeover(self, job):
         """Stops the takeover of a job. Returns whether it was being taken over."""
-        if not self._adopting.pop(job, False):
+        if not self._taking_over.pop(job, False):
             return False
         job.taking_over = False
         self.accounts.reconciled(job)
@@ -417,7 +419,7 @@
 
     def _start_takeover(self, job):
         """Starts the takeover of a job: it is owned here, but none of its tasks starts before the write."""
-        job.taking_over = self._adopting[job] = True
+        job.taking_over = self._taking_over[job] = True
         self._add_owned(job)
         self.recorder.schedule_write(job, SOON)
 
@@ -616,7 +618,7 @@
             return  # its end is being written; the outcome of that write shows which came first
         job.state = "cancelled"
         self.recorder.cancel_write(job)
-        if self._adopting.pop(job, False):
+        if self._taking_over.pop(job, False):
             self._on_taken_over(job)  # the write of its takeover may never have an outcome
         if record is not None:
             self.remember_final(job_id, record)
--- a/roadhead/jobs/recorder.py
+++ b/roadhead/jobs/recorder.py
@@ -64,31 +64,31 @@
         self._pacer = TransactionPacer(loop, state.answers)
         self._pending_deletes = PendingDeletes(loop, progress_s)
         self._wake = Signal()
-        self.newness = CreationChecker(loop, state, progress_s, self._settle, on_new)
+        self._creation_checker = CreationChecker(loop, state, progress_s, self._settle, on_new)
         self.failing_since = None
         # job -> fraction of the value limit that its record may take, after a larger one was refused
         self._record_fraction = {}
         self._one_at_a_time = False  # after a batch was too large: one record at a time until one is written
 
     def schedule_write(self, job, urgency):
-        """Marks a job's record to be written, after the outcome of its write under way if there is one."""
+        """Schedules the write of a job's record, after the outcome of its write under way if there is one."""
         entry = self._in_flight.get(job)
         if entry is not None:
-            entry.again = urgency if entry.again is None else min(urgency, entry.again)
-            entry.over = False
+            entry.rescheduled = urgency if entry.rescheduled is None else min(urgency, entry.rescheduled)
+            entry.withdrawn = False
             return
         self._queue.add(job, urgency)
         self._wake.set()
         if not job.stamp:
-            self.newness.add(job)
+            self._creation_checker.add(job)
 
     def cancel_write(self, job):
-        """Withdraws the mark: the job's record need not be written any more."""
+        """Cancels the scheduled write: the job's record need not be written any more."""
         self._queue.take(job)
         entry = self._in_flight.get(job)
         if entry is not None:
-            entry.again, entry.over = None, True
-        self.newness.remove(job)
+            entry.rescheduled, entry.withdrawn = None, True
+        self._creation_checker.remove(job)
 
     def schedule_delete(self, key):
         """Queues a key that is no longer needed for deletion."""
@@ -122,16 +122,16 @@
     @property
     def confirmed_new(self):
         """Waiting creations that were found to be new."""
-        return self.newness.confirmed_new
+        return self._creation_checker.confirmed_new
 
     @property
     def newness_unknown(self):
         """Whether nobody can tell at present which waiting creations are new."""
-        return self.newness.newness_unknown
+        return self._creation_checker.newness_unknown
 
     async def check(self):
         """Duty: finds out which of the waiting creations are new."""
-        await self.newness.run()
+        await self._creation_checker.run()
 
     async def _settle(self, job):
         """Reports the stored record of a creation that waits and turned out not to be new.
@@ -146,12 +146,12 @@
             self._on_conflict(job, record, stamp)
 
     async def run(self):
-        """Duty: writes the marked records in transactions, several of which may be under way at once."""
+        """Duty: writes the scheduled records in transactions, several of which may be under way at once."""
         try:
             while True:
                 await self._pacer.turn()
                 batch = self._batch()
-                if not batch and not (self._pending_deletes.due() and self._state.writes.spare(SPARE)):
+                if not batch and not (self._pending_deletes.is_due() and self._state.writes.spare(SPARE)):
                     waits = self._queue or self._pending_deletes
                     await self._wake.wait(self._loop, self._progress_s / 4 if waits else None)
                     continue
@@ -178,12 +178,12 @@
         finally:
             self._requeue_unfinished(transaction)
         if settled:
-            self.failing_since, self.newness.newness_unknown = None, False
+            self.failing_since, self._creation_checker.newness_unknown = None, False
         elif self.failing_since is None:
             self.failing_since = self._loop.now()
 
     def _requeue_unfinished(self, transaction):
-        """Marks again the jobs of a transaction that have no outcome yet."""
+        """Schedules again the jobs of a transaction that have no outcome yet."""
         for entry in transaction.entries:
             self._requeue(entry)
 
@@ -195,13 +195,13 @@
         try:
             revision = await self._state.send(transaction.conditions, transaction.writes)
         except ConflictError as conflict:
-            self._pending_deletes.give_back(transaction.deletes)
+            self._pending_deletes.requeue(transaction.deletes)
             await self._resolve(transaction, conflict.failed)
         except UnknownOutcomeError:
-            self._pending_deletes.give_back(transaction.deletes)
+            self._pending_deletes.requeue(transaction.deletes)
             return await self._read_outcome(transaction)
         except UnavailableError as error:
-            self._pending_deletes.give_back(transaction.deletes)
+            self._pending_deletes.requeue(transaction.deletes)
             if isinstance(error, RequestTooLargeError):
                 self._shrink([entry.job for entry in transaction.entries])
             raise
@@ -282,7 +282,7 @@
             transaction.require(self._guards.of(job))
             transaction.require(job.creation_condition)
         transaction.put(job.id, record, archived)
-        self.newness.being_written(job)
+        self._creation_checker.being_written(job)
         if recorded is job.done:
             recorded = Ranges(job.done.flat())  # a copy: tasks done from now on are not in this record
         entry = RecordWrite(job, self._queue.take(job), record, recorded, job.state, archived=archived)
@@ -299,11 +299,11 @@
         return True
 
     def _requeue(self, entry):
-        """Marks the job of an entry again, unless it was unmarked meanwhile."""
-        if not self._release(entry) or entry.over:
+        """Schedules the job's write again, unless it was cancelled meanwhile."""
+        if not self._release(entry) or entry.withdrawn:
             return
         self.schedule_write(
-            entry.job, entry.urgency if entry.again is None else min(entry.urgency, entry.again)
+            entry.job, entry.urgency if entry.rescheduled is None else min(entry.urgency, entry.rescheduled)
         )
 
     def _confirm(self, entry, revision):
@@ -314,10 +314,10 @@
         job.written_at = self._loop.now()
         job.saved_count = recorded.count
         self._record_fraction.pop(job, None)
-        self.newness.remove(job)
+        self._creation_checker.remove(job)
         self._release(entry)
-        if entry.again is not None:
-            self.schedule_write(job, entry.again)
+        if entry.rescheduled is not None:
+            self.schedule_write(job, entry.rescheduled)
         self._on_written(job, recorded, entry.state)
         if job.state == "open" and job.done.count > recorded.count and job not in self._queue:
             self.schedule_write(job, SOON if job.complete() else LATER)
@@ -350,7 +350,7 @@
         return True
 
     async def _resolve(self, transaction, failed):
-        """Handles failed conditions: settles the jobs whose keys changed, and marks the others again.
+        """Handles failed conditions: settles the jobs whose keys changed, and schedules the others again.
 
         One changed key must not hold up the other jobs of its transaction.
         """
--- a/roadhead/jobs/records.py
+++ b/roadhead/jobs/records.py
@@ -21,9 +21,10 @@
 
 
 async def find(state, job_id):
-    """Returns (record, stamp) of a job, wherever it is stored, or (None, 0). Raises Unavailable or Unsure.
+    """Returns (record, stamp) of a job, wherever it is stored, or (None, 0).
 
     The stamp is that of the key under `j/`; it is 0 for an archived record, which is never written again.
+    Raises UnavailableError or UnknownOutcomeError.
     """
     record, stamp = await state.get(KEY + job_id)
     if record is None:
@@ -35,7 +36,8 @@
 async def complete(state, job_id, record):
     """Returns a stored record together with what is stored apart from it.
 
-    Raises Unavailable or Unsure. A record of a newer format also raises Unavailable, and is left alone.
+    Raises UnavailableError or UnknownOutcomeError. A record of a newer format also raises UnavailableError,
+    and is left alone.
     """
     if record is not None and record.get("v", 0) > FORMAT:
         raise UnavailableError(f"record of job {job_id} has format {record['v']}, newer than {FORMAT}")
--- a/roadhead/jobs/transactions.py
+++ b/roadhead/jobs/transactions.py
@@ -21,8 +21,8 @@
     record: dict
     recorded: Ranges  # tasks that the record says are done, as it was sent
     state: str
-    again: int | None = None  # urgency of a mark that was set meanwhile
-    over: bool = False  # unmarked meanwhile: the record need not be written again
+    rescheduled: int | None = None  # urgency with which the write was scheduled again meanwhile
+    withdrawn: bool = False  # the scheduled write was cancelled meanwhile: no retry is needed
     archived: bool = False  # the record is moved to the archive by the same transaction
 
     @property
@@ -100,7 +100,7 @@
         if len(self._keys) < MAX_PENDING_DELETES and key not in self._keys:
             self._keys.append(key)
 
-    def give_back(self, keys):
+    def requeue(self, keys):
         """Queues keys again that may not have been deleted."""
         for key in keys:
             self.add(key)
@@ -111,7 +111,7 @@
         taken, self._keys = self._keys[:most], self._keys[most:]
         return taken
 
-    def due(self):
+    def is_due(self):
         """Returns whether the keys have waited long enough to be deleted without a record."""
         return bool(self._keys) and self._loop.now() - self._waiting_since >= self._progress_s
 
@@ -119,14 +119,14 @@
 class TransactionPacer:
     """Paces transactions.
 
-    While answers arrive in their usual time, one transaction is under way at a time, so that records marked
-    meanwhile go into one batch. An answer that is late does not hold up the next transaction. `answers`
-    estimates the usual time (state/latency.py).
+    While answers arrive in their usual time, one transaction is under way at a time, so that records
+    scheduled meanwhile go into one batch. An answer that is late does not hold up the next transaction.
+    `answers` estimates the usual time (state/latency.py).
     """
 
     def __init__(self, loop, answers):
         self._loop = loop
-        self._answers = answers  # a state.latency.AnswerTimes
+        self._answers = answers  # a state.latency.ResponseTimeEstimator
         self._under_way = {}  # routines in their order of start; an ordered set
         self._newest = None
         self._began_at = 0.0
--- a/roadhead/jobs/write_queue.py
+++ b/roadhead/jobs/write_queue.py
@@ -9,15 +9,15 @@
 class WriteQueue:
     """Jobs in the order in which their records are written.
 
-    A job marked LATER is due `progress_s` seconds after its record was last written.
+    A job scheduled LATER is due `progress_s` seconds after its record was last written.
     """
 
     def __init__(self, loop, progress_s):
         self._loop = loop
         self._progress_s = progress_s
         self._urgency = {}  # job -> urgency
-        self._waiting = ({}, {})  # jobs marked URGENT and jobs marked SOON, as ordered sets
-        # Heap of (due time, number, job) of jobs marked LATER; may hold jobs taken out since
+        self._waiting = ({}, {})  # URGENT jobs and SOON jobs, as ordered sets
+        # Heap of (due time, number, job) of LATER jobs; may hold jobs taken out since
         self._later = []
         self._numbers = count()
 
@@ -49,15 +49,15 @@
 
     @property
     def urgent(self):
-        """The jobs marked URGENT, in order."""
+        """The URGENT jobs, in order."""
         return self._waiting[URGENT]
 
     def soon(self, most):
-        """Returns up to `most` of the jobs marked SOON."""
+        """Returns up to `most` of the SOON jobs."""
         return islice(self._waiting[SOON], most)
 
     def progress(self, most):
-        """Returns up to `most` jobs marked LATER that are due, the longest overdue first."""
+        """Returns up to `most` LATER jobs that are due, the longest overdue first."""
         now = self._loop.now()
         due = {}
         while self._later and self._later[0][0] <= now and len(due) < most:
--- a/roadhead/pipelines/ancestry.py
+++ b/roadhead/pipelines/ancestry.py
@@ -49,8 +49,8 @@
     async def derive(self, record):
         """Returns (record, conditions): an open job's record as it counts, and how long that holds.
 
-        The result is valid as long as the conditions hold. Raises Unavailable or Unsure if a cancelled
-        ancestor cannot be excluded.
+        The result is valid as long as the conditions hold. Raises UnavailableError or UnknownOutcomeError if
+        a cancelled ancestor cannot be excluded.
         """
         if not self._dependencies_of(record):
             return record, []
@@ -161,8 +161,9 @@
         """Checks a submission that names upstream jobs.
 
         Returns (why it can never be accepted, or None; whether it is cancelled already, with one of its
-        ancestors). `own(id)` returns whether the submitter may know of that job at all. Raises Unavailable or
-        Unsure: a job that could not be looked up is not a fault of the submission.
+        ancestors). `own(id)` returns whether the submitter may know of that job at all. Raises
+        UnavailableError or UnknownOutcomeError: a job that could not be looked up is not a fault of the
+        submission.
         """
         if spec.id in spec.upstream:
             return f"upstream: {spec.id} names itself", False
--- a/roadhead/pipelines/dependency_queue.py
+++ b/roadhead/pipelines/dependency_queue.py
@@ -33,7 +33,7 @@
         loop: the event loop.
         member: this controller's membership.
         state: the state service's client.
-        book: the jobs owned here (jobs/job_store.py).
+        job_store: the jobs owned here (jobs/job_store.py).
         send: `send(label, frame)` sends a frame to a controller.
         times: class -> factors of a job's deadline that the class's targets name.
         time_of_day: returns seconds since the epoch.
--- a/roadhead/pipelines/upstream_parts.py
+++ b/roadhead/pipelines/upstream_parts.py
@@ -42,7 +42,10 @@
 
 
 async def whole(state, job_id, record):
-    """Returns the record with its dependency list put together. Raises Unavailable or Unsure."""
+    """Returns the record with its dependency list put together.
+
+    Raises UnavailableError or UnknownOutcomeError.
+    """
     if record is None or "up" not in record:
         return record
     nonce, count = record["up"]
--- a/tests/limit_failovers.py
+++ b/tests/limit_failovers.py
@@ -68,7 +68,7 @@
             if job_store is None:
                 continue
             kept = {
-                "adopting": job_store._adopting,
+                "adopting": job_store._taking_over,
                 "inherited": job_store.reconciliation.inherited,
                 "left": job_store.quota.unread,
                 "jobs": job_store.jobs,
