--- a/roadhead/dispatch/demand_broadcast.py
+++ b/roadhead/dispatch/demand_broadcast.py
@@ -6,9 +6,7 @@
 from roadhead.wire import frames
 
 MAX_ROWS = 256  # rows of a Demand frame, which keeps it far below the frame size limit
-BORROWING_RANK_STEP = (
-    5  # added to the urgency of work beyond its team's guarantee, where teams share the fleet
-)
+BORROWING_RANK_STEP = 5  # added to the urgency of work beyond its team's guarantee, where teams share
 # Share of this controller's part of the fleet's CPUs that may be rented for submissions that can't be
 # checked against the stored records, and so may be retries of jobs that have ended.
 UNVERIFIED_SHARE = 0.25
@@ -18,7 +16,7 @@
     """Sends Demand frames to the members when the waiting work has changed, at most one per `gap_s`.
 
     `idle_count()` returns the length of the idle list; `request_pass()` schedules a placing pass, which calls
-    `tell()` at its end.
+    `broadcast()` at its end.
     """
 
     def __init__(self, loop, member, job_store, queue, send, counters, gap_s, idle_count, request_pass):
@@ -36,7 +34,7 @@
         self._scanned_at = -1e9
         self._timer = None
 
-    def forget(self):
+    def invalidate(self):
         """Has the demand sent again: leaders may count tasks as served that still wait."""
         self._announced = None
 
@@ -46,12 +44,12 @@
             self._announced = None
             self._request_pass()
 
-    def at_once(self):
+    def skip_interval(self):
         """Has the demand sent with the next pass: a controller joined or its link came up."""
         self._announced = None
         self._scanned_at = -1e9
 
-    def tell(self):
+    def broadcast(self):
         """Sends the demand to every member, so that shard leaders grant fitting machines to this controller.
 
         It includes tasks that can't start yet, since new machines take long to boot. The queue is
@@ -123,7 +121,7 @@
         self._request_pass()
 
     def _collect_parts(self):
-        """Returns the Parts that wait or soon will, each with how much of it its team's limit admits."""
+        """Returns the tasks that wait or soon will, each part with how much of it its team's limit admits."""
         parts = [part for job in self._queue.waiting() for part in self._split(job, True)]
         for job in self._job_store.arriving_jobs(UNVERIFIED_SHARE * self._queue.capacity()):
             if job.unstarted and not job.suspected_faulty:
@@ -136,7 +134,7 @@
         return parts
 
     def _split(self, job, startable):
-        """Returns the Parts of one job's waiting tasks.
+        """Returns one job's waiting tasks, in parts of the same urgency and position.
 
         The leading task is split from the others; where teams share the fleet, tasks within the team's
         guarantee are split from those that borrow.
--- a/roadhead/dispatch/dispatcher.py
+++ b/roadhead/dispatch/dispatcher.py
@@ -72,12 +72,23 @@
 class Dispatcher:
     """The scheduler of the jobs that one controller owns.
 
-    `aims`: {class: ClassTargets}; `gap_s`: the shortest time between two Demand frames; `window_s`: jobs due
-    within it of one another count as equally urgent.
+    `class_targets`: {class: ClassTargets}; `gap_s`: the shortest time between two Demand frames;
+    `window_s`: jobs due within it of one another count as equally urgent.
     """
 
     def __init__(
-        self, loop, label, member, job_store, aims, random, send, counters, gap_s, window_s, default_aim_s
+        self,
+        loop,
+        label,
+        member,
+        job_store,
+        class_targets,
+        random,
+        send,
+        counters,
+        gap_s,
+        window_s,
+        default_aim_s,
     ):
         self._loop = loop
         self.label = label
@@ -87,9 +98,9 @@
         self._send = send
         self._count = counters.add
         self._window_s = window_s
-        self.idle = {}  # machine -> Listing
+        self.idle = {}  # machine -> GrantedMachine
         self._placing = False
-        self.queue = JobQueue(loop, job_store, aims, default_aim_s, gap_s, window_s)
+        self.queue = JobQueue(loop, job_store, class_targets, default_aim_s, gap_s, window_s)
         self.preemption = None  # set where teams share by guarantee and weight: reclaims guaranteed room
         self._gang_reservations = GangReservations(loop, window_s, random, self.schedule_placement)
         self._demand_broadcaster = DemandBroadcaster(
@@ -103,9 +114,9 @@
             lambda: len(self.idle),
             self.schedule_placement,
         )
-        # State of a placing pass: listings that may still take a task, and the room shapes that fit none.
+        # State of a placing pass: listings that may still take a task, and the placement keys that fit none.
         self._open_listings = []
-        self._unplaceable_shapes = set()
+        self._unplaceable_keys = set()
 
     def schedule_placement(self):
         """Schedules a placing pass, unless one is scheduled already."""
@@ -130,13 +141,13 @@
         listing = self.idle.get(frame.machine)
         if listing is not None and listing.serial <= frame.serial:
             del self.idle[frame.machine]
-            self._demand_broadcaster.forget()
+            self._demand_broadcaster.invalidate()
             self.schedule_placement()
 
     def on_refused(self, frame):
         """A shard leader refused a start: the listing is out of date, so the grant is returned."""
         listing = self.idle.pop(frame.machine, None)
-        self._demand_broadcaster.forget()
+        self._demand_broadcaster.invalidate()
         if listing is not None:
             self._send(listing.leader, frames.ReturnGrant(listing.id, listing.serial, len(self.idle)))
 
@@ -154,7 +165,7 @@
                 listing.leader
             ) != new.incarnation(listing.leader):
                 del self.idle[name]
-        self._demand_broadcaster.forget()
+        self._demand_broadcaster.invalidate()
         self.schedule_placement()
 
     def refresh(self):
@@ -163,7 +174,7 @@
 
     def rebroadcast_demand(self):
         """Sends the demand again at once: a controller joined or its link came up."""
-        self._demand_broadcaster.at_once()
+        self._demand_broadcaster.skip_interval()
         self.schedule_placement()
 
     # Placing
@@ -200,23 +211,23 @@
         if self._member.term is None:
             return  # tenants may be known before the first term
         self.queue.refresh()
-        self._gang_reservations.begin()
+        self._gang_reservations.clear()
         if self.idle:
             starts = {}  # machine -> {job: [(index, attempt)]}
-            self._unplaceable_shapes.clear()
+            self._unplaceable_keys.clear()
             self._collect_open_listings()
             left = self._place_all(starts)
             for _ in range(MAX_ROUNDS if self.queue.fair_share is not None else 0):
                 # In each round a borrowing tenant gets at most one quantum ahead of the next one.
                 if not self._open_listings or not any(
-                    not job.round_allowance and job.placement_key not in self._unplaceable_shapes
+                    not job.round_allowance and job.placement_key not in self._unplaceable_keys
                     for job in self.queue.waiting()
                 ):
                     break
                 self.queue.refresh(anew=True)
                 left = self._place_all(starts)
             self._finish(left, starts)
-        self._demand_broadcaster.tell()
+        self._demand_broadcaster.broadcast()
         if self.preemption is not None:
             self.preemption.waits(
                 [job for job in self.queue.waiting() if job.within_guarantee > 0 and self.may_start(job)]
@@ -226,24 +237,24 @@
         """Sets the open listings: those with room for the smallest waiting task, not reserved for gangs."""
         now = self._loop.now()
         cpus, memory = self.queue.smallest_task
-        kept = self._gang_reservations.kept
+        reserved = self._gang_reservations.reserved
         self._open_listings = [
             listing
             for listing in self.idle.values()
             if listing.free[0] >= cpus - 1e-6
             and listing.free[2] >= memory - 1e-6
             and listing.until > now
-            and listing.id not in kept
+            and listing.id not in reserved
         ]
 
     def _place_all(self, starts):
         """Starts tasks in queue order while listings are open.
 
-        Returns {room shape: a job of it} for the jobs still waiting that may fit an open listing. If any
-        listing is still open, no such shape is missing.
+        Returns {placement key: a job with it} for the jobs still waiting that may fit an open listing. If any
+        listing is still open, no such key is missing.
         """
         left = {}
-        unplaceable = self._unplaceable_shapes
+        unplaceable = self._unplaceable_keys
         for group in self._group_by_due_time(self.queue.waiting()):
             for with_image in (True, False):
                 for job in group:
@@ -272,12 +283,12 @@
         group = []
         latest = 0.0
         for job in waiting:
-            place = job.queue_position
-            if group and place > latest:
+            position = job.queue_position
+            if group and position > latest:
                 yield group
                 group = []
             if not group:
-                latest = place + self._window_s
+                latest = position + self._window_s
             group.append(job)
         if group:
             yield group
@@ -297,10 +308,10 @@
             return
         chosen, is_complete = place_gang(job, self._fitting(job), self._random)
         if not is_complete:
-            self._gang_reservations.keep(job, chosen)
+            self._gang_reservations.reserve(job, chosen)
             self._collect_open_listings()
             return
-        self._gang_reservations.started(job)
+        self._gang_reservations.release(job)
         attempt = self._job_store.attempt()
         for listing, count in chosen.items():
             tasks = starts.setdefault(listing.id, {}).setdefault(job, [])
@@ -320,7 +331,7 @@
         fitting = self._fitting(job)
         if not fitting:
             self._count("empty_list")
-            self._unplaceable_shapes.add(job.placement_key)
+            self._unplaceable_keys.add(job.placement_key)
             return
         if with_image and image:
             fitting = [listing for listing in fitting if image in listing.images]
@@ -341,9 +352,9 @@
         if self._job_store.quota.limited(spec.team):
             left = self._job_store.quota.headroom(spec.team)
         while job.unstarted and fitting and (unshared or job.round_allowance > 0):
-            place = self._random.randrange(len(fitting))
-            listing = fitting[place]
-            fitting[place] = fitting[-1]
+            index = self._random.randrange(len(fitting))
+            listing = fitting[index]
+            fitting[index] = fitting[-1]
             fitting.pop()
             tasks = None
             while job.unstarted and fits(need, listing.free) and (unshared or job.round_allowance > 0):
@@ -385,7 +396,7 @@
                     fits(job.resources, listing.free) and self._allowed(job, listing) for job in left.values()
                 )
             else:
-                is_useless = listing.until > now and listing.id not in self._gang_reservations.kept
+                is_useless = listing.until > now and listing.id not in self._gang_reservations.reserved
             if is_useless:
                 del self.idle[listing.id]
                 if not listing.taken and not listing.unacked:
@@ -393,7 +404,7 @@
                         may_start_any = any(self.may_start(job) for job in self.queue.waiting())
                     if may_start_any:
                         # The leader counted waiting tasks as served by this grant, so send the demand again.
-                        self._demand_broadcaster.forget()
+                        self._demand_broadcaster.invalidate()
             if jobs:
                 last = len(jobs)
                 for job, tasks in jobs.items():
--- a/roadhead/dispatch/gangs.py
+++ b/roadhead/dispatch/gangs.py
@@ -41,7 +41,7 @@
 
 
 class GangReservations:
-    """The listings reserved for gangs in the current placing pass.
+    """The granted machines reserved for gangs in the current placing pass.
 
     `window_s`: the unit of the reservation and backoff times; `request_pass()` schedules a placing pass.
     """
@@ -51,13 +51,13 @@
         self._window_s = window_s
         self._random = random
         self._request_pass = request_pass
-        self.kept = set()  # ids of the machines whose listings are reserved
+        self.reserved = set()  # ids of the machines whose listings are reserved
 
-    def begin(self):
-        """Starts a placing pass, with nothing reserved."""
-        self.kept.clear()
+    def clear(self):
+        """Drops all reservations, at the start of a placing pass."""
+        self.reserved.clear()
 
-    def keep(self, job, chosen):
+    def reserve(self, job, chosen):
         """Reserves the chosen listings for the gang, or makes it back off once it reserved for too long."""
         now = self._loop.now()
         if not job.reserving_since:
@@ -68,9 +68,9 @@
             self._loop.call_later(backoff_s, self._request_pass)
             return
         job.reserved_tasks = sum(chosen.values())
-        self.kept.update(listing.id for listing in chosen)
+        self.reserved.update(listing.id for listing in chosen)
 
     @staticmethod
-    def started(job):
+    def release(job):
         """Ends the reservation of a gang that has started."""
         job.reserved_tasks, job.reserving_since = 0, 0.0
--- a/roadhead/dispatch/headroom.py
+++ b/roadhead/dispatch/headroom.py
@@ -14,11 +14,11 @@
 
     __slots__ = ("count", "first_task_leads", "job", "mark", "queue_position", "rank", "startable", "within")
 
-    def __init__(self, job, count, rank, place, startable, *, first_task_leads=False):
+    def __init__(self, job, count, rank, queue_position, startable, *, first_task_leads=False):
         self.job = job
         self.count = count
         self.rank = rank
-        self.queue_position = place
+        self.queue_position = queue_position
         self.startable = startable
         self.first_task_leads = first_task_leads
         self.within = count
@@ -75,8 +75,8 @@
     def _levels_of(self, team):
         """Returns the names of the team's levels, whose headroom is known from then on, or None."""
         if team not in self._levels_by_team:
-            rooms = self._quota.level_rooms(team)
-            self._levels_by_team[team] = None if rooms is None else tuple(rooms)
-            for name, free in (rooms or {}).items():
+            headroom = self._quota.level_rooms(team)
+            self._levels_by_team[team] = None if headroom is None else tuple(headroom)
+            for name, free in (headroom or {}).items():
                 self._free_by_level.setdefault(name, free)
         return self._levels_by_team[team]
--- a/roadhead/dispatch/job_queue.py
+++ b/roadhead/dispatch/job_queue.py
@@ -45,7 +45,7 @@
         self._window_s = window_s
         self._sorted_jobs = []  # the open jobs when it was last sorted, and those that arrived since
         self._sorted_at = -1e9
-        self._sorted_version = 0  # the book's version when it was last sorted
+        self._sorted_version = 0  # the job store's version when it was last sorted
         self.smallest_task = (0.0, 0.0)  # (cpus, memory): no waiting task needs less
         self.time_of_day = None
         self.capacity = lambda: 0.0
@@ -128,7 +128,7 @@
         jobs.sort(key=lambda entry: entry[0])
         completion_s = 0.0
         scheduled = {}  # rank -> heap of (-cost, number)
-        for number, (_place, slack, duration_s, _deferral_s, job) in enumerate(jobs):
+        for number, (_position, slack, duration_s, _deferral_s, job) in enumerate(jobs):
             if not duration_s:
                 continue
             completion_s += duration_s
@@ -145,8 +145,12 @@
                 jobs[deferred][4].queue_position += jobs[deferred][3]  # to its next target
                 if deferred == number:
                     break
-        for job, place in leading.items():
-            job.borrowed_position, job.queue_position, job.first_task_leads = job.queue_position, place, True
+        for job, position in leading.items():
+            job.borrowed_position, job.queue_position, job.first_task_leads = (
+                job.queue_position,
+                position,
+                True,
+            )
         self._sorted_jobs = sorted((entry[4] for entry in jobs), key=lambda job: job.queue_position)
         self.smallest_task = (
             min((job.spec.cpus for job in self._sorted_jobs), default=0.0),
@@ -195,8 +199,8 @@
                     STARVED_TIER * TIER_STEP_WINDOWS * self._window_s + job.released_at - starved_before
                 )
         # A gang starts with all of its tasks or not at all, so all of them are boosted.
-        places.update({job: place for job, place in leading.items() if job.gang})
-        return places, {job: place for job, place in leading.items() if job not in places}
+        places.update({job: position for job, position in leading.items() if job.gang})
+        return places, {job: position for job, position in leading.items() if job not in places}
 
     def refresh(self, anew=False):
         """Sorts the queue if `anew` or if the order is out of date, else inserts the jobs that arrived.
--- a/roadhead/dispatch/targets.py
+++ b/roadhead/dispatch/targets.py
@@ -20,22 +20,24 @@
 
 def shortest_targets(objectives):
     """Returns {class: the shortest time in seconds that any of its objectives names}."""
-    aims = {}
+    targets = {}
     for objective in objectives:
         if objective.within_s:
-            aims[objective.klass] = min(aims.get(objective.klass, objective.within_s), objective.within_s)
-    return aims
+            targets[objective.klass] = min(
+                targets.get(objective.klass, objective.within_s), objective.within_s
+            )
+    return targets
 
 
 def class_targets(objectives):
     """Returns {class: its ClassTargets}."""
     by_class = {}
     for objective in objectives:
-        aims = by_class.setdefault(objective.klass, ClassTargets([], [], []))
+        targets = by_class.setdefault(objective.klass, ClassTargets([], [], []))
         if objective.kind == "finished" and objective.within_s:
-            aims.within.append(objective.within_s)
+            targets.within.append(objective.within_s)
         elif objective.kind == "wait" and objective.within_s:
-            aims.waits.append(objective.within_s)
+            targets.waits.append(objective.within_s)
         elif objective.kind == "deadline":
-            aims.times.append(objective.times)
+            targets.times.append(objective.times)
     return by_class
--- a/roadhead/fleet/fleet.py
+++ b/roadhead/fleet/fleet.py
@@ -17,8 +17,8 @@
 MAX_HIRE = 50  # machines per request
 MAX_RELEASE = 100  # machines per request
 TIMER_MARGIN_S = 1e-3  # timers may fire early by this much
-# Part of a class's time target: dearer shapes are rented for work that the cheapest would not drain by then.
-COSTLY_SHAPES_WITHIN = 0.7
+# Part of a class's time target: dearer offers are used for work that the cheapest would not drain by then.
+COSTLY_OFFERS_WITHIN = 0.7
 # List lags after which tasks that start on a new machine are no longer counted as waiting.
 DEMAND_LAGS = 2
 SURPLUS_IDLE_FACTOR = 0.2  # shortens the time that an idle machine is kept if much room is free without it
@@ -27,15 +27,27 @@
 class Fleet:
     """The fleet as one controller sees it, and its duties towards the cloud.
 
-    `tuning`: the table `machine_counts` of the operators' settings; `aims`: {class: its shortest time target
-    in seconds}; `default_aim_s`: the target assumed for the other classes.
+    `tuning`: the table `fleet` of the operators' settings; `shortest_targets`: {class: its shortest time
+    target in seconds}; `default_aim_s`: the target assumed for the other classes.
     """
 
-    def __init__(self, loop, cloud, member, home, deployment, tuning, aims, default_aim_s, random, counters):
+    def __init__(
+        self,
+        loop,
+        cloud,
+        member,
+        leader,
+        deployment,
+        tuning,
+        shortest_targets,
+        default_aim_s,
+        random,
+        counters,
+    ):
         self._loop = loop
         self._cloud = cloud
         self._member = member
-        self._shard_leader = home
+        self._shard_leader = leader
         self._zones = deployment.zones
         self._lag_s = deployment.cloud.list_lag_s
         self._lease_s = deployment.workers.lease_s
@@ -43,7 +55,7 @@
         # With more machines, the controllers that remain when one ends would have too few sockets to get a
         # report from each machine once per report interval.
         self._max_machines = tuning.largest or deployment.nodes * deployment.quota.fd_limit
-        self._aims = aims
+        self._shortest_targets = shortest_targets
         self._default_aim_s = default_aim_s
         self._random = random
         self._count = counters.add
@@ -52,10 +64,10 @@
         self.demand = {}  # label -> rows of its newest Demand
         self.machine_counts = {}  # label -> rows of its newest MachineCounts
         self.running = []  # addresses of the machines last listed as running
-        self._booting = {}  # machine -> (shape key, when it was rented), until it is listed as running
+        self._booting = {}  # machine -> (offer key, when it was rented), until it is listed as running
         self._recently_booted = RecentlyBooted(DEMAND_LAGS * self._lag_s)
         self._sustained_headroom = SustainedHeadroom(DEMAND_LAGS * self._lag_s)
-        self._backoffs = {}  # shapes without capacity: key -> (until when, refusals in a row)
+        self._backoffs = {}  # offers without capacity: key -> (until when, refusals in a row)
         self._hire_count = 0
         self._progress = {}  # key of a resource request -> (waiting tasks, when that number last fell)
         self._releasing = set()
@@ -103,11 +115,11 @@
 
     def _on_machine_list(self, listed, asked_at):
         """Handles a complete machine list that was requested at `asked_at`."""
-        home = self._shard_leader
+        leader = self._shard_leader
         term = self._member.term
         now = self._loop.now()
         names = set()
-        mine = []
+        led_here = []
         running = self.running = []
         for item in listed:
             names.add(item.id)
@@ -120,17 +132,17 @@
             elif item.id not in self._booting:
                 self._booting[item.id] = ((item.type, item.zone, item.spot), now - item.age_s)
             if term.leader_of(item.id) == self._member.label:
-                mine.append(item)
+                led_here.append(item)
         for name, (_key, since) in list(self._booting.items()):
             if name not in names and asked_at > since + 2 * self._lag_s:
                 del self._booting[name]
-        failed = home.apply_machine_list(mine, asked_at)
+        failed = leader.apply_machine_list(led_here, asked_at)
         if failed:
             self.release(failed)
         to_release = []
-        for item in mine:
+        for item in led_here:
             kind = self.types.get(item.type)
-            machine = home.machines.get(item.id)
+            machine = leader.machines.get(item.id)
             if (
                 item.status == "starting"
                 and kind is not None
@@ -141,13 +153,13 @@
                     log.info("machine %s did not come up in time and is released", item.id)
                     self._count("machines_stuck")
                 to_release.append(item.id)
-        for machine in list(home.machines.values()):
+        for machine in list(leader.machines.values()):
             if machine.id in names:
                 continue
             known_at = max(machine.heard_at or 0.0, machine.listed_at or 0.0)
             if asked_at > known_at + 2 * self._lag_s * 1.01:
                 to_release.append(machine.id)
-        to_release += home.reconciliation.missing_machines(names, asked_at)
+        to_release += leader.reconciliation.missing_machines(names, asked_at)
         if to_release:
             self.release(to_release)
 
@@ -198,7 +210,7 @@
             self.release([machine.id for machine in machines[:count]])
 
     def refused_kinds(self):
-        """Returns the shapes, as text, for which the cloud lately had no capacity."""
+        """Returns the offers, as text, for which the cloud lately had no capacity."""
         now = self._loop.now()
         return [
             " ".join((kind, zone, "spot" if spot else "ordinary"))
@@ -243,9 +255,9 @@
         requests = {}
         for row in self._sustained_headroom.rentable(self._demand_of_members(), self._loop.now()):
             rank, mark, cpus, gpus, memory, count, spot, zone, types, estimate_s, klass, slack, *_ = row
-            aim = self._aims.get(klass)
-            if aim is not None:
-                wait_s = self._tuning.drain_ratio * aim
+            target_s = self._shortest_targets.get(klass)
+            if target_s is not None:
+                wait_s = self._tuning.drain_ratio * target_s
             else:
                 wait_s = max(slack, self._tuning.drain_ratio * estimate_s)
                 wait_s = min(wait_s, self._tuning.drain_ratio * self._default_aim_s)
@@ -318,31 +330,31 @@
             booting,
             refused,
             max(0, self._max_machines - machine_count),
-            COSTLY_SHAPES_WITHIN / self._tuning.drain_ratio,
+            COSTLY_OFFERS_WITHIN / self._tuning.drain_ratio,
             self._recently_booted.counts(now),
         )
-        for shape, count in orders:
+        for offer, count in orders:
             count = min(count, MAX_HIRE)
             self._hire_count += 1
             # The request name contains the incarnation, so that no other process ever uses the same name.
             name = f"r-{self._member.incarnation}-{self._hire_count}"
             try:
-                names = await self._hire_with_retries(name, shape, count)
+                names = await self._hire_with_retries(name, offer, count)
             except NoCapacityError:
                 names = []
             if len(names) < count:
-                attempts = self._backoffs.get(shape.key, (0, 0))[1] + 1
+                attempts = self._backoffs.get(offer.key, (0, 0))[1] + 1
                 backoff_s = min(2**attempts, 10) * self._lag_s
-                self._backoffs[shape.key] = (self._loop.now() + backoff_s, attempts)
-                log.info("the cloud has no capacity for %s", shape.key)
+                self._backoffs[offer.key] = (self._loop.now() + backoff_s, attempts)
+                log.info("the cloud has no capacity for %s", offer.key)
                 self._wake.set()
             else:
-                self._backoffs.pop(shape.key, None)
+                self._backoffs.pop(offer.key, None)
             if names:
                 log.info(
                     "rented %d of %s; up: %s, booting: %s, waiting (urgency, tasks, s each, s left): %s",
                     len(names),
-                    shape.key,
+                    offer.key,
                     sum(machines.values()),
                     sum(booting.values()),
                     [
@@ -352,13 +364,13 @@
                 )
                 self._count("machines_hired", len(names))
             for machine in names:
-                self._booting[machine] = (shape.key, self._loop.now())
+                self._booting[machine] = (offer.key, self._loop.now())
 
-    async def _hire_with_retries(self, name, shape, count):
+    async def _hire_with_retries(self, name, offer, count):
         """Rents machines and returns their names; retries with the same name, which rents nothing twice."""
         for retries_left in (2, 1, 0):
             try:
-                return await self._cloud.rent(name, shape.kind.name, shape.zone, shape.spot, count)
+                return await self._cloud.rent(name, offer.kind.name, offer.zone, offer.spot, count)
             except CloudError:
                 if not retries_left:
                     raise
--- a/roadhead/fleet/provisioning.py
+++ b/roadhead/fleet/provisioning.py
@@ -1,4 +1,4 @@
-"""Decides how many machines of which shape to rent: pure functions, no I/O."""
+"""Decides how many machines of which kind to rent: pure functions, no I/O."""
 
 from roadhead.fleet.quota_limits import QuotaMark
 
@@ -23,7 +23,7 @@
 
 
 def instance_offers(types, zones):
-    """Returns every Shape of the catalogue; a type that names no zones is on offer in all `zones`."""
+    """Returns every InstanceOffer of the catalogue; a type that names no zones is on offer in all `zones`."""
     return [
         InstanceOffer(kind, zone, spot)
         for kind in types.values()
@@ -71,52 +71,52 @@
         self.wait_s = wait_s
         self.stuck = False
 
-    def slots(self, shape):
-        """Returns how many of these tasks a machine of this shape holds; 0 if it may not run them."""
+    def slots(self, offer):
+        """Returns how many of these tasks a machine of this offer holds; 0 if it may not run them."""
         if (
-            (shape.spot and not self.spot)
-            or (self.zone and self.zone != shape.zone)
-            or (self.types and shape.kind.name not in self.types)
+            (offer.spot and not self.spot)
+            or (self.zone and self.zone != offer.zone)
+            or (self.types and offer.kind.name not in self.types)
         ):
             return 0
         fitting = 1 << 30
         for need, available in (
-            (self.cpus, shape.kind.cpus),
-            (self.gpus, shape.kind.gpus),
-            (self.memory, shape.kind.memory),
+            (self.cpus, offer.kind.cpus),
+            (self.gpus, offer.kind.gpus),
+            (self.memory, offer.kind.memory),
         ):
             if need > 0:
                 fitting = min(fitting, int((available + 1e-6) / need))
         return fitting
 
 
-def plan_machines(requests, shapes, machines, idle, busy, coming, refused, largest, patience, fresh=None):
-    """Returns [(shape, count)] to rent, so that the waiting tasks start in time.
+def plan_machines(requests, offers, machines, idle, busy, coming, refused, largest, patience, fresh=None):
+    """Returns [(offer, count)] to rent, so that the waiting tasks start in time.
 
-    `machines`: {shape key: running machines}; `idle`: {shape key: those of them without tasks}; `busy`: how
-    many machines' worth of CPUs is in use; `coming`: {shape key: machines rented that are still booting};
-    `refused`: keys of shapes for which the cloud lately had no capacity; `largest`: the most machines to
-    rent now; `patience`: a shape dearer than the cheapest is rented only for work that would otherwise take
-    this many times its `wait_s`; `fresh`: {shape key: machines that came up a moment ago}, whose tasks may
+    `machines`: {offer key: running machines}; `idle`: {offer key: those of them without tasks}; `busy`: how
+    many machines' worth of CPUs is in use; `coming`: {offer key: machines rented that are still booting};
+    `refused`: keys of offers for which the cloud lately had no capacity; `largest`: the most machines to
+    rent now; `patience`: an offer dearer than the cheapest is rented only for work that would otherwise take
+    this many times its `wait_s`; `fresh`: {offer key: machines that came up a moment ago}, whose tasks may
     still be counted as waiting.
 
     For a team at its limit, the tasks beyond the limit count when deciding how soon the tasks within it need
     machines, but machines are rented for the latter only, less what fits on idle, fresh and booting machines.
     """
-    by_key = {shape.key: shape for shape in shapes}
+    by_key = {offer.key: offer for offer in offers}
     rented = {}
     spare_arriving = {key: float(count) for key, count in coming.items() if key in by_key}
     spare_idle = {key: float(count) for key, count in idle.items() if key in by_key}
     total = sum(machines.values())
     spare_fresh = {key: float(count) for key, count in (fresh or {}).items() if key in by_key}
-    # Work of the requests seen so far, in seconds of one machine of the cheapest shape:
+    # Work of the requests seen so far, in seconds of one machine of the cheapest offer:
     backlog_s = 0.0  # within limits or without one
     beyond_limit_s = 0.0  # beyond limits
     for request in sorted(
         requests, key=lambda request: (request.rank, request.mark is not QuotaMark.BEYOND, request.wait_s)
     ):
         offers_by_price = sorted(
-            ((shape.price / slots, shape.key, slots) for shape in shapes if (slots := request.slots(shape))),
+            ((offer.price / slots, offer.key, slots) for offer in offers if (slots := request.slots(offer))),
         )
         if not offers_by_price:
             continue
--- a/roadhead/fleet/quota_limits.py
+++ b/roadhead/fleet/quota_limits.py
@@ -31,15 +31,16 @@
     return rank, QuotaMark(mark)
 
 
-def returnable_count(idle, told, fleet, types):
+def returnable_count(idle, demand, fleet, types):
     """Returns how many of `idle` machines may be returned to the cloud.
 
     Machines are kept for pending tasks, which start once their team's running tasks are known. Every
     shard leader keeps the same part of its idle machines.
 
-    `told`: {label: rows of its Demand}, `fleet`: {label: rows of its MachineCounts}, `types`: the catalogue.
+    `demand`: {label: rows of its Demand}, `fleet`: {label: rows of its MachineCounts}, `types`: the
+    catalogue.
     """
-    rows = [row for rows in told.values() for row in rows]
+    rows = [row for rows in demand.values() for row in rows]
     pending = sum(row[1] * row[4] for row in rows if decode_urgency(row[0])[1] is QuotaMark.PENDING)
     if not pending:
         return idle
@@ -56,14 +57,14 @@
 
     def __init__(self, window_s):
         self._window_s = window_s
-        self._machines = {}  # machine -> (shape key, until)
+        self._machines = {}  # machine -> (offer key, until)
 
     def add(self, machine, key, now):
-        """Records that a machine of the shape with this key came up."""
+        """Records that a machine of the offer with this key came up."""
         self._machines[machine] = (key, now + self._window_s)
 
     def counts(self, now):
-        """Returns {shape key: number of machines}."""
+        """Returns {offer key: number of machines}."""
         self._machines = {name: entry for name, entry in self._machines.items() if entry[1] > now}
         return dict(Counter(key for key, _until in self._machines.values()))
 
@@ -85,13 +86,13 @@
         self._window_s = window_s
         self._history = {}  # label -> [(when, CPUs demanded within limits)], oldest first
 
-    def rentable(self, told, now):
+    def rentable(self, demand, now):
         """Returns the rows that machines may be rented for, each as (urgency, mark, *the rest of the row).
 
-        `told`: {label: rows of its Demand}.
+        `demand`: {label: rows of its Demand}.
         """
         needed = []
-        for label, rows in told.items():
+        for label, rows in demand.items():
             rows = [(*decode_urgency(row[0]), *row[1:]) for row in rows]
             if any(row[1] is not QuotaMark.PLAIN for row in rows):
                 rows = self._limit_to_sustained(label, rows, now)
--- a/roadhead/frame_router.py
+++ b/roadhead/frame_router.py
@@ -21,16 +21,17 @@
         self._on_lowered = on_lowered
         self._handlers = {}
 
-    def begin(self, home, job_store, dispatcher, fleet, failover, summary, further_handlers):
-        """Takes the components of a new incarnation; `further_handlers`: {frame class: handler} of the desk.
+    def begin(self, shard_leader, job_store, dispatcher, fleet, failover, summary, further_handlers):
+        """Takes the components of a new incarnation.
 
-        A handler is called with the sender's label, its incarnation and the frame.
+        `further_handlers`: {frame class: handler} for serving tenants. A handler is called with the sender's
+        label, its incarnation and the frame.
         """
         member = self._member
 
         def on_demand(label, _incarnation, frame):
             fleet.demand[label] = frame.rows
-            home.capacity_granter.on_demand(label, frame)
+            shard_leader.capacity_granter.on_demand(label, frame)
             fleet.wake()
 
         def on_refused(_label, _incarnation, frame):
@@ -39,37 +40,39 @@
 
         def on_sync(label, incarnation, frame):
             if frame.term == member.term.number:
-                home.task_commands.on_sync(label, incarnation, frame)
+                shard_leader.task_commands.on_sync(label, incarnation, frame)
 
         def on_home_news(label, _incarnation, frame):
             fleet.machine_counts[label] = frame.rows
-            home.capacity_granter.free_cpus[label] = sum(row[5] for row in frame.rows)
+            shard_leader.capacity_granter.free_cpus[label] = sum(row[5] for row in frame.rows)
 
         self._handlers = {
             frames.Demand: on_demand,
             frames.Grant: lambda _label, _incarnation, frame: dispatcher.on_grant(frame),
-            frames.ReturnGrant: lambda label, _incarnation, frame: home.capacity_granter.on_return(
+            frames.ReturnGrant: lambda label, _incarnation, frame: shard_leader.capacity_granter.on_return(
                 label, frame
             ),
             frames.RevokeGrant: lambda _label, _incarnation, frame: dispatcher.on_revoke(frame),
-            frames.StartTasks: home.task_commands.on_start,
+            frames.StartTasks: shard_leader.task_commands.on_start,
             frames.StartRefused: on_refused,
             frames.TaskStates: lambda label, _incarnation, frame: job_store.task_reports.on_tasks(
                 label, frame
             ),
             frames.AttemptGone: lambda _label, _incarnation, frame: job_store.task_reports.on_free(frame),
-            frames.StopTask: lambda _label, _incarnation, frame: home.task_commands.on_stop(frame),
-            frames.ForgetAttempts: lambda _label, _incarnation, frame: home.task_commands.on_forget(frame),
+            frames.StopTask: lambda _label, _incarnation, frame: shard_leader.task_commands.on_stop(frame),
+            frames.ForgetAttempts: lambda _label, _incarnation, frame: shard_leader.task_commands.on_forget(
+                frame
+            ),
             frames.ReconcileRequest: on_sync,
             frames.ReconcileDone: lambda label, _incarnation, frame: job_store.reconciliation.on_synced(
                 label, frame
             ),
             frames.OrphanedJob: lambda _label, _incarnation, frame: failover.on_orphan(frame.job),
-            frames.JobFaulty: lambda _label, _incarnation, frame: home.failure_history.on_job_fails(
+            frames.JobFaulty: lambda _label, _incarnation, frame: shard_leader.failure_history.on_job_fails(
                 frame.job
             ),
-            frames.HandoverMachines: lambda _label, _incarnation, frame: home.on_handover(frame),
-            frames.HandoverJobs: lambda _label, _incarnation, frame: home.on_handover_jobs(frame),
+            frames.HandoverMachines: lambda _label, _incarnation, frame: shard_leader.on_handover(frame),
+            frames.HandoverJobs: lambda _label, _incarnation, frame: shard_leader.on_handover_jobs(frame),
             frames.MachineCounts: on_home_news,
             frames.JobsEnded: lambda _label, _incarnation, frame: job_store.dependency_queue.on_over(frame),
             frames.UpstreamPriorities: lambda _label, _incarnation, frame: (
--- a/roadhead/node.py
+++ b/roadhead/node.py
@@ -59,8 +59,9 @@
     """One controller process.
 
     It outlives its incarnations: when the other members drop it, it joins again as a new incarnation and
-    rebuilds everything that depends on the membership. `hosted`: the Desk of tenants/admission_controller.py
-    where tenants are served, else None.
+    rebuilds everything that depends on the membership.
+
+    `hosted`: the TenantAdmissionController where tenants are served, else None.
     """
 
     def __init__(self, loop, net, settings, tuning, rng=None, time_of_day=time.time, hosted=None):
@@ -76,7 +77,7 @@
         self.counters = Counters({**EVENTS, **refusal_events()})
         self.decisions = DecisionLog(time_of_day, self.counters)
         self.troubles = TroubleLog(loop.now, time_of_day)
-        self.tenant_admission = hosted  # tenants/admission_controller.py, where tenants are served
+        self.tenant_admission = hosted  # None where no tenants are served
         state_limits = deployment.state if hosted is None else hosted.left_of(deployment.state)
         self.state = StateClient(
             loop, net, settings.external.state, state_limits, deployment.nodes, self._on_lowered
@@ -119,7 +120,7 @@
             on_tenant=None if hosted is None else hosted.table.take,
             time_of_day=time_of_day,
         )
-        self._switchboard = FrameRouter(
+        self._frame_router = FrameRouter(
             self.member, self.send, self.on_cancelled, self.state.apply_lower_limits
         )
         self.peers = Peers(
@@ -130,7 +131,7 @@
             me=lambda: self.member.incarnation,
             speaks=self._speaks,
             heartbeat=self._heartbeat,
-            on_frame=self._switchboard.on_frame,
+            on_frame=self._frame_router.on_frame,
             on_up=self._on_up,
             on_down=self._on_down,
         )
@@ -143,7 +144,7 @@
             self._heartbeat_s,
         )
         self._default_aim_s = 15 * workers.lease_s
-        self.aims = shortest_targets(deployment.objectives)
+        self.shortest_targets = shortest_targets(deployment.objectives)
         self._class_targets = class_targets(deployment.objectives)
         self._sockets = SocketBudget(deployment.quota.fd_limit, self.counters.add)
         creation_timeout_s = min(workers.lease_s / 3, SUBMIT_ANSWER_PART * SUBMIT_TIMEOUT_S)
@@ -157,7 +158,7 @@
             patience_s=workers.lease_s / 1.2,
         )
         self.deadline_tracker = DeadlineTracker(
-            self.aims, sorted({objective.klass for objective in deployment.objectives})
+            self.shortest_targets, sorted({objective.klass for objective in deployment.objectives})
         )
         self._started_at = self._not_member_since = loop.now()
         self.failover = JobFailover(
@@ -251,8 +252,8 @@
 
         parts = UpstreamParts(loop, self.state, self.member, self._time_of_day, workers.lease_s)
 
-        def make_line(job_store):
-            times = {name: aims.times for name, aims in self._class_targets.items()}
+        def make_dependency_queue(job_store):
+            times = {name: targets.times for name, targets in self._class_targets.items()}
             return DependencyQueue(
                 loop,
                 self.member,
@@ -280,7 +281,7 @@
             self.teams,
             self.failover.on_accepted,
             self.archiver.add,
-            make_line,
+            make_dependency_queue,
             parts,
         )
         self.dispatcher = Dispatcher(
@@ -305,7 +306,7 @@
             self.shard_leader,
             deployment,
             self._tuning.fleet,
-            self.aims,
+            self.shortest_targets,
             self._default_aim_s,
             self._random,
             self.counters,
@@ -318,7 +319,7 @@
         self._spec_lookup.begin(self.shard_leader)
         self.failover.begin(self.job_store, self.archiver)
         self._summary.begin(self.job_store, self.shard_leader, self.dispatcher, self.fleet)
-        self._switchboard.begin(
+        self._frame_router.begin(
             self.shard_leader,
             self.job_store,
             self.dispatcher,
@@ -417,7 +418,7 @@
     def send(self, label, frame):
         """Sends a frame to a controller, this one included; returns False if it has no link."""
         if label == self.label:
-            self._loop.call_soon(self._switchboard.on_frame, label, self.member.incarnation, frame)
+            self._loop.call_soon(self._frame_router.on_frame, label, self.member.incarnation, frame)
             return True
         return self.peers.send(label, frame)
 
@@ -437,17 +438,17 @@
         the next controller after 1 s. If the leader is alive but hears hardly any worker, the network
         between it and the workers is cut, and it is relieved: others take over its shards.
         """
-        home = self.member.term.leader_of(report.machine)
-        if home == self.label:
-            return home
-        link = self.peers.links.get(home)
+        leader = self.member.term.leader_of(report.machine)
+        if leader == self.label:
+            return leader
+        link = self.peers.links.get(leader)
         if link is None:
             return None
         if link.workers_silent:
             if report.token:  # the worker has been in touch with its leader before
-                self.member.relieve(home)
+                self.member.relieve(leader)
             return None
-        return home
+        return leader
 
     def _is_state_ok(self):
         return self._loop.now() - self.state.ok_at < self.member._lease_s / 2
@@ -524,8 +525,8 @@
     async def read(self, job_id):
         """Returns a job's record for a user, or None if there is none.
 
-        Raises Unavailable if the controller's own duties leave no requests to the state service for it. A
-        final record that became known here during the read is newer than the one that the read found.
+        Raises UnavailableError if the controller's own duties leave no requests to the state service for it.
+        A final record that became known here during the read is newer than the one that the read found.
         """
         record = await self.record_reader.read(job_id)
         return self.job_store.final_records.get(job_id) or record
@@ -534,8 +535,8 @@
         """Passes on cancellations of which a user is about to be told.
 
         Every shard leader that can be reached is told first. One that can't be reached gets no heartbeat from
-        this controller before it has been told (membership/cancellation_freshness.py). Raises Unavailable if
-        that can't be ensured.
+        this controller before it has been told (membership/cancellation_freshness.py). Raises
+        UnavailableError if that can't be ensured.
         """
         if not self.member.joined:
             # The others don't wait for heartbeats of a non-member, so tasks could run on without a warning.
@@ -590,7 +591,7 @@
 
     def _on_term(self, old, new):
         for label in list(self.peers.links):
-            self._switchboard.send_term(label)
+            self._frame_router.send_term(label)
         if old is None:
             self.api.readiness.changed()
             # A controller that is not in the term may still run, and may have led shards held here now
@@ -620,7 +621,7 @@
         self._tell_cancelled(label, self.cancellations.all())
         if not self.member.joined or label not in self.peers.links:
             return
-        self._switchboard.send_term(label)
+        self._frame_router.send_term(label)
         self.job_store.reconciliation.ask(label)
         self.dispatcher.rebroadcast_demand()
         self.job_store.dependency_queue.recheck_upstream()
--- a/roadhead/periodic_duties.py
+++ b/roadhead/periodic_duties.py
@@ -12,7 +12,7 @@
 log = logging.getLogger("roadhead.node")
 
 # After its lease has lapsed, a member acts on a term for so long after the others showed it to be in force.
-TERM_VALID_BEATS = SILENT_HEARTBEATS + 1.5
+TERM_VALID_HEARTBEATS = SILENT_HEARTBEATS + 1.5
 MAX_MARKS_PER_RUN = 20  # stale cancellation marks deleted at a time
 MAX_SAMPLE = 3  # workers probed by a relieved controller
 
@@ -44,7 +44,7 @@
     async def run(self):
         """Runs the duties until the incarnation ends and this coroutine is cancelled."""
         node = self._node
-        beats = 0
+        heartbeats = 0
         while True:
             await self._loop.sleep(self._heartbeat_s)
             node.check_connectivity()
@@ -58,11 +58,11 @@
             node.shard_balancer.tick(node.shard_leader)
             node.job_store.dependency_queue.refresh_priorities()
             node.member.advance_format_gate()
-            beats += 1
+            heartbeats += 1
             if node.tenant_admission is not None:
-                node.tenant_admission.tick(beats)
-            for interval_beats, duty in self._schedule:
-                if beats % interval_beats == 0:
+                node.tenant_admission.tick(heartbeats)
+            for interval_heartbeats, duty in self._schedule:
+                if heartbeats % interval_heartbeats == 0:
                     duty()
 
     # Machines
@@ -70,8 +70,7 @@
     def _check_machines(self):
         """Checks the workers' leases, and returns unused machines to the cloud."""
         node = self._node
-        # must be called at every heartbeat, as CancellationFreshness.look in
-        # membership/cancellation_freshness.py
+        # Called at every heartbeat: what was heard from the others counts only while there is no gap in it.
         node.authority.can_renew_leases()
         term_confirmed_at = node.authority.term_confirmed_at()
         self._check_relieved_controllers()
@@ -82,7 +81,7 @@
         # Otherwise the machines may have a new shard leader by now, and tasks that are not known here.
         if (
             not node.member.lease_may_have_expired()
-            or self._loop.now() - term_confirmed_at < TERM_VALID_BEATS * self._heartbeat_s
+            or self._loop.now() - term_confirmed_at < TERM_VALID_HEARTBEATS * self._heartbeat_s
         ):
             node.fleet.release([machine.id for machine in unused])
             node.fleet.return_idle()
@@ -90,13 +89,13 @@
     async def _judge_leases(self):
         """Confirms that the term is in force, then judges the leases that ended since that was last known."""
         node = self._node
-        home = node.shard_leader
+        leader = node.shard_leader
         try:
             await node.member.confirm_term()
         except (UnavailableError, UnknownOutcomeError) as error:
-            log.debug("term in force: %r", error)
-        if home is node.shard_leader and node.member.joined:
-            home.judge_leases(node.authority.term_confirmed_at())
+            log.debug("confirming the term failed: %r", error)
+        if leader is node.shard_leader and node.member.joined:
+            leader.judge_leases(node.authority.term_confirmed_at())
         self._is_judging = False
 
     def _check_relieved_controllers(self):
--- a/roadhead/state/client.py
+++ b/roadhead/state/client.py
@@ -197,7 +197,8 @@
         `conditions`: (key, stamp) pairs that must all hold; `patient`: waits for the longest time for the
         answer, as the caller won't look up the outcome if there is none.
 
-        Raises Conflict, LeaseExpiredError, RequestTooLargeError, Unavailable or Unsure.
+        Raises ConflictError, LeaseExpiredError, RequestTooLargeError, UnavailableError or
+        UnknownOutcomeError.
         """
         await self.writes.take(len(writes))
         return await self.send(conditions, writes, patient)
@@ -218,7 +219,7 @@
         raise UnavailableError(f"multi: {status}")
 
     async def check_conditions(self, conditions):
-        """Checks that every (key, stamp) still holds. Raises Conflict with the keys that changed."""
+        """Checks that every (key, stamp) still holds. Raises ConflictError with the keys that changed."""
         timeout_s = min(COMPARE_TIMEOUT_S, self.answers.timeout_s)
         status, answer = await self._send_transaction(conditions, [], timeout_s)
         if status == 409:
--- a/roadhead/state/record_reader.py
+++ b/roadhead/state/record_reader.py
@@ -18,16 +18,15 @@
 RESERVED = 0.1  # of the request burst, kept for leases and starts: polls wait meanwhile
 BATCHING_DELAY = 0.05  # of `patience_s`: how long polls are held back
 RETRY_WITHIN = 0.25  # of `patience_s`: a comparison without an answer is repeated only within that time
-FAILING_AFTER = (
-    0.5  # of `patience_s`: after so long without any answer, polls are refused while one is waiting
-)
+# Share of `patience_s`: after so long without any answer, polls are refused while one is waiting
+FAILING_AFTER = 0.5
 
 
 class RecordReader:
     """A cache of records with many readers.
 
-    `places`: the prefixes under which a record may be stored, in the order in which it moves through them;
-    `whole(name, record)` returns the record with its parts that are stored separately; `shorten(record)`
+    `prefixes`: the prefixes under which a record may be stored, in the order in which it moves through them;
+    `complete(name, record)` returns the record with its parts that are stored separately; `shorten(record)`
     returns the part of it that is cached; `derive(record)` returns (the record with the state that follows
     from others that it depends on, the (key, stamp) conditions under which that holds).
     """
@@ -56,8 +55,8 @@
     async def read(self, name):
         """Returns the current record of this name, or None if there is none.
 
-        Raises Unavailable at once if too many polls wait or the state service answers nothing at present, and
-        Timeout after `patience_s`.
+        Raises UnavailableError at once if too many polls wait or the state service answers nothing at
+        present, and Timeout after `patience_s`.
 
         Records are only removed with their tenant, so one that was seen to exist is read a second time before
         it is reported missing.
--- a/roadhead/summary.py
+++ b/roadhead/summary.py
@@ -9,7 +9,7 @@
 
 log = logging.getLogger("roadhead.summary")
 
-PART_VALID_BEATS = 15  # after which a controller's part is out of date and it counts as not heard
+PART_VALID_HEARTBEATS = 15  # after which a controller's part is out of date and it counts as not heard
 
 
 class Summary:
@@ -50,11 +50,11 @@
         self._waiting_since = {}  # class -> since when tasks of it have been waiting here
         self._job_store = self._shard_leader = self._dispatcher = self._fleet = None
 
-    def begin(self, job_store, home, dispatcher, fleet):
+    def begin(self, job_store, leader, dispatcher, fleet):
         """Takes the components of a new incarnation."""
         self._job_store, self._shard_leader, self._dispatcher, self._fleet = (
             job_store,
-            home,
+            leader,
             dispatcher,
             fleet,
         )
@@ -66,14 +66,14 @@
     def local_part(self):
         """Returns this controller's part of the summary, as a SummaryPart frame."""
         now = self._loop.now()
-        job_store, home = self._job_store, self._shard_leader
+        job_store, leader = self._job_store, self._shard_leader
         behind = []
         if not self._is_state_ok():
             behind.append(f"{self.label}: the state service does not answer")
         failing_since = job_store.recorder.failing_since
         if failing_since is not None and now - failing_since > self._heartbeat_s:
             behind.append(f"{self.label}: records not written for {now - failing_since:.0f} s")
-        if not home.reconciliation.is_reconciled():
+        if not leader.reconciliation.is_reconciled():
             behind.append(f"{self.label}: machines of an earlier term not all heard yet")
         waiting = [job for job in job_store.jobs.values() if job.unreconciled_leaders]
         if waiting:
@@ -89,7 +89,7 @@
             f"{self.label}: {line}"
             for line in job_store.dependency_queue.at_risk(lambda job: self._risk.endangered(job, at))
         ]
-        failing = sum(machine.draining and bool(machine.errors) for machine in home.machines.values())
+        failing = sum(machine.draining and bool(machine.errors) for machine in leader.machines.values())
         rows = self._risk.rows(
             job_store.jobs.values(), self._time_of_day(), job_store.dependency_queue.dependencies.by_class
         )
@@ -119,9 +119,9 @@
 
     def _stall_reason(self, jobs):
         """Returns why none of these waiting jobs of one class starts tasks."""
-        homes = {label for job in jobs for label in job.unreconciled_leaders}
-        if homes:
-            return f"taken over, {', '.join(sorted(homes))} can't yet say what runs"
+        leaders = {label for job in jobs for label in job.unreconciled_leaders}
+        if leaders:
+            return f"taken over, {', '.join(sorted(leaders))} can't yet say what runs"
         if all(job.suspected_faulty for job in jobs):
             return "its jobs fail wherever they run"
         teams = self._job_store.teams
@@ -139,17 +139,17 @@
 
     def check_connectivity(self, lease_may_have_expired):
         """Notes which contacts are lost now; a loss is recorded with its duration when it ends."""
-        set_trouble, member = self._troubles.set_active, self._member
-        set_trouble("state service does not answer", not self._is_state_ok())
-        set_trouble("not a member", not member.joined)
-        set_trouble("own lease has ended", member.joined and lease_may_have_expired)
-        set_trouble("most workers are not heard", self._shard_leader.most_workers_silent())
-        set_trouble(
+        set_active, member = self._troubles.set_active, self._member
+        set_active("state service does not answer", not self._is_state_ok())
+        set_active("not a member", not member.joined)
+        set_active("own lease has ended", member.joined and lease_may_have_expired)
+        set_active("most workers are not heard", self._shard_leader.most_workers_silent())
+        set_active(
             "relieved of its machines, as workers could not reach it",
             member.term is not None and self.label in member.term.relieved,
         )
         for label in self._labels[1:]:
-            set_trouble(f"{label} is not heard", label not in self._links)
+            set_active(f"{label} is not heard", label not in self._links)
 
     def shares(self):
         """Returns how many shards and machines each leader has, by the term known here, and the shard moves.
@@ -157,8 +157,8 @@
         The moves are those seen since this process started.
         """
         now, term = self._loop.now(), self._member.term
-        homes = sorted(term.leaders) if term is not None else ()
-        counts = term.shard_map.counts(homes) if homes else {}
+        leaders = sorted(term.leaders) if term is not None else ()
+        counts = term.shard_map.counts(leaders) if leaders else {}
         return {
             "term": term.number if term is not None else 0,
             "format": self._member.format_gate.describe(self._time_of_day()),
@@ -168,7 +168,7 @@
                     "shares": counts.get(label),
                     "machines": sum(row[3] for row in self._fleet.machine_counts.get(label, ())),
                 }
-                for label in homes
+                for label in leaders
             ],
             "changes": [
                 {
@@ -189,7 +189,7 @@
         parts = {
             label: part
             for label, (at, part) in self._parts.items()
-            if now - at < PART_VALID_BEATS * self._heartbeat_s
+            if now - at < PART_VALID_HEARTBEATS * self._heartbeat_s
         }
         parts[self.label] = self.local_part()  # also while it isn't a member
         classes = {}
