--- a/roadhead/api/cancellation_writer.py
+++ b/roadhead/api/cancellation_writer.py
@@ -30,8 +30,8 @@
 
     Per job, a transaction writes the final record, on condition that the open one is unchanged, and the mark
     that all controllers watch. A record that changed fails the whole transaction: its caller gets the
-    Conflict, and the other jobs are retried. Records change all the time, so they are read only once the rate
-    suffices for the write. Transactions don't wait for each other.
+    ConflictError, and the other jobs are retried. Records change all the time, so they are read only once the
+    rate suffices for the write. Transactions don't wait for each other.
 
     `max_wait_s` limits the wait for the write rate: after it, a batch is sent with whatever rate is left.
     """
@@ -45,7 +45,10 @@
         self._reserved_writes = 0  # writes of batches whose records are being read
 
     def cancel(self, job_id):
-        """Returns a Future of the Outcome. It fails with Conflict, Unavailable or Unsure."""
+        """Returns a Future of the Outcome.
+
+        It fails with ConflictError, UnavailableError or UnknownOutcomeError.
+        """
         future = self._waiting.setdefault(job_id, Future())
         self._wake()
         return future
--- a/roadhead/api/cancellations.py
+++ b/roadhead/api/cancellations.py
@@ -54,8 +54,8 @@
     async def _attempt(self, job_id):
         """Makes the job's record final if it is open, and returns the Answer.
 
-        Raises Conflict if the record changed meanwhile, or Unsure if the state service's answer was lost: the
-        next attempt reads the outcome. Raises Unavailable if nothing was written.
+        Raises ConflictError if the record changed meanwhile, or UnknownOutcomeError if the state service's
+        answer was lost: the next attempt reads the outcome. Raises UnavailableError if nothing was written.
         """
         known = self._states.final(job_id)
         if known is not None:
--- a/roadhead/api/reports.py
+++ b/roadhead/api/reports.py
@@ -26,9 +26,9 @@
             report.check()
         except messages.InvalidMessageError as error:
             return Answer(400, messages.error(str(error)))
-        home = node.leader_for(report)
-        if home != node.label:
-            return Answer(421, messages.redirect(home))
+        leader = node.leader_for(report)
+        if leader != node.label:
+            return Answer(421, messages.redirect(leader))
         if not node.authority.can_renew_leases():
             return NO_AUTHORITY
         renewal = node.shard_leader.report_processor.answer(report)
--- a/roadhead/api/server.py
+++ b/roadhead/api/server.py
@@ -34,10 +34,8 @@
 # Stored records have a newer format than this version knows: it must neither interpret nor change them.
 NEWER_FORMAT = RefusedError(Cause.NEWER_FORMAT)
 JOIN_WAIT_FRACTION = 1 / 8  # fraction of `create_s` for which requests wait until this controller can decide
-OPEN_PATHS = (
-    READY_PATH,
-    REPORT_PATH,
-)  # unsigned, for the platform and workers; gateways sign all other requests
+# Unsigned requests, of the platform and workers; gateways sign all other requests.
+OPEN_PATHS = (READY_PATH, REPORT_PATH)
 
 
 class Api:
--- a/roadhead/api/submissions.py
+++ b/roadhead/api/submissions.py
@@ -12,7 +12,7 @@
 
 
 def parse(body):
-    """Decodes a submission into a valid JobSpec. Raises messages.Invalid."""
+    """Decodes a submission into a valid JobSpec. Raises messages.InvalidMessageError."""
     spec = messages.parse(messages.decode_strict_map(body), messages.JobSpec)
     spec.check()
     if spec.upstream is None:
--- a/roadhead/gateway/admin_api.py
+++ b/roadhead/gateway/admin_api.py
@@ -116,7 +116,7 @@
         self._overlap_s = overlap_s
 
     async def handle(self, request):
-        """Returns (status, message, tenant version or None) for a request. Raises Refused."""
+        """Returns (status, message, tenant version or None) for a request. Raises ProblemError."""
         route, values = ROUTES.find(request)
         if route.scope is None:
             return 200, ROUTES.document("roadhead administration"), None
@@ -130,7 +130,7 @@
             raise ProblemError(422, "what is asked for contradicts itself", faults=error.faults) from None
 
     def _authorize(self, text, scope):
-        """Raises Refused unless the key is the root key or an administrator's key with this scope."""
+        """Raises ProblemError unless the key is the root key or an administrator's key with this scope."""
         if self._secrets.is_root(text):
             return
         entry, key = authenticate(self._table, self._secrets, text, self._time_of_day())
@@ -142,7 +142,7 @@
     # Reading
 
     async def _load(self, name):
-        """Returns the stored (Tenant, stamp) by name. Raises Refused 404 or 410."""
+        """Returns the stored (Tenant, stamp) by name. Raises ProblemError 404 or 410."""
         number, _stamp = (
             await self._state.get(NAME + name)
             if name.isascii() and name.replace("-", "").isalnum()
@@ -210,7 +210,8 @@
     async def _store(self, tenant, stamp, conditions=(), writes=()):
         """Writes a version on condition that the stored one has `stamp`.
 
-        Raises Conflict, Unsure or Unavailable, and Contradiction for an invalid version.
+        Raises InvalidTenantError for an invalid version, and ConflictError, UnknownOutcomeError or
+        UnavailableError.
         """
         tenant.check()
         tenant = tenant.fitting(self._state.limits.value_bytes)
--- a/roadhead/gateway/answers.py
+++ b/roadhead/gateway/answers.py
@@ -49,14 +49,14 @@
         return key.strip() if scheme.lower() == "bearer" else ""
 
     def request_key(self):
-        """Returns the idempotency key, or an empty text. Raises Refused."""
+        """Returns the idempotency key, or an empty text. Raises ProblemError."""
         key = self.headers.get("idempotency-key", "")
         if len(key) > 100:
             raise ProblemError(400, "Idempotency-Key: at most 100 characters")
         return key
 
     def read(self, message_type):
-        """Decodes the body into a message of type `message_type`. Raises Refused."""
+        """Decodes the body into a message of type `message_type`. Raises ProblemError."""
         media = self.headers.get("content-type", JSON).partition(";")[0].strip().lower()
         if media not in (JSON, CBOR):
             raise ProblemError(415, f"a body is {JSON} or {CBOR}")
@@ -73,7 +73,7 @@
             raise ProblemError(400, _without_values(str(error))) from None
 
     def count(self, name, default, maximum):
-        """Returns an integer query parameter from 1 to `maximum`. Raises Refused."""
+        """Returns an integer query parameter from 1 to `maximum`. Raises ProblemError."""
         text = self.query.get(name, str(default))
         if not (text.isascii() and text.isdigit() and 1 <= int(text[:9]) <= maximum):
             raise ProblemError(400, f"{name}: from 1 to {maximum}")
--- a/roadhead/gateway/controllers.py
+++ b/roadhead/gateway/controllers.py
@@ -48,7 +48,7 @@
         return status, (messages.decode_map(data) if data else {}), headers
 
     async def ask(self, number, method, target, body=b"", within_s=4.0):
-        """Returns (status, answer, headers) of the first controller that can answer. Raises Refused.
+        """Returns (status, answer, headers) of the first controller that can answer. Raises ProblemError.
 
         A request may reach several controllers, so it must be idempotent: submissions are, by the job's id.
         """
--- a/roadhead/gateway/routes.py
+++ b/roadhead/gateway/routes.py
@@ -34,7 +34,7 @@
         self._routes = [(route, route.path.strip("/").split("/")) for route in routes]
 
     def find(self, request):
-        """Returns (Route, values of its variables). Raises Refused 404 or 405."""
+        """Returns (Route, values of its variables). Raises ProblemError 404 or 405."""
         path_exists = False
         for route, parts in self._routes:
             if len(parts) != len(request.parts):
--- a/roadhead/gateway/tenants_api.py
+++ b/roadhead/gateway/tenants_api.py
@@ -67,9 +67,9 @@
 
 
 def authenticate(table, secrets, text, now):
-    """Returns (Entry, Key) for an access key.
+    """Returns (TenantEntry, Key) for an access key.
 
-    Raises Refused, with the same text for unknown and revoked keys.
+    Raises ProblemError, with the same text for unknown and revoked keys.
     """
     named = split_key(text)
     entry = table.entry(named[0]) if named is not None else None
@@ -92,7 +92,7 @@
         self._reading = 0  # tenant records being read to look up unknown keys
 
     async def handle(self, request):
-        """Returns (status, message) for a request. Raises Refused."""
+        """Returns (status, message) for a request. Raises ProblemError."""
         route, values = ROUTES.find(request)
         if route.scope is None:
             return 200, ROUTES.document("roadhead for tenants")
@@ -120,7 +120,7 @@
         )
 
     async def _authenticate(self, text):
-        """Returns (Entry, Key) for an access key.
+        """Returns (TenantEntry, Key) for an access key.
 
         A key that is unknown here may have been created through another gateway while this one's watch lags,
         so the tenant's stored record is read before a key is refused.
@@ -148,7 +148,7 @@
             self._table.take(tenant_key(number), record, stamp)
 
     async def _ask_about_job(self, number, own, method, target, within_s, body=b""):
-        """Asks a controller about the tenant's job. Returns (status, Job). Raises Refused."""
+        """Asks a controller about the tenant's job. Returns (status, Job). Raises ProblemError."""
         status, answer, headers = await self._controllers.ask(number, method, target, body, within_s)
         if status in (200, 201):
             if answer.get("id") != ids.to_job(number, own):
@@ -228,7 +228,7 @@
 
     @staticmethod
     def _parse_cursor(number, text):
-        """Parses a cursor into (prefix, key to continue after). Raises Refused."""
+        """Parses a cursor into (prefix, key to continue after). Raises ProblemError."""
         if not text:
             return KEY, ""
         place, dot, own = text.partition(".")
--- a/roadhead/tenants/preemption.py
+++ b/roadhead/tenants/preemption.py
@@ -32,7 +32,7 @@
         self._loop = loop
         self._member = member
         self._job_store = job_store
-        self._sharing = fair_share
+        self._fair_share = fair_share
         self._send = send
         self._count = counters.add
         self._schedule_pass = schedule_pass  # () -> None: schedules another placing pass
@@ -54,23 +54,23 @@
         self._reclaimed = {job: asked for job, asked in self._reclaimed.items() if job in waiting}
         rows = {}
         soonest = None
-        parts = [
+        waiting_tasks = [
             WaitingTasks(job, job.within_guarantee, job.rank, job.queue_position, startable=True)
             for job in jobs
         ]
-        SharedHeadroom(self._job_store.quota).share(parts)
-        for part in parts:
-            job = part.job
+        SharedHeadroom(self._job_store.quota).share(waiting_tasks)
+        for entry in waiting_tasks:
+            job = entry.job
             left = self._waiting_since[job] + self._patience_s - now
             if left > 1e-6:
                 soonest = left if soonest is None else min(soonest, left)
                 continue
             until, tasks = self._reclaimed.get(job, (0.0, 0))
             # Tasks that their team's limit keeps from starting are not counted; borrowers keep that capacity.
-            count = part.within - (tasks if until > now else 0)
+            count = entry.within - (tasks if until > now else 0)
             if count <= 0:
                 continue
-            self._reclaimed[job] = (now + self._settle_s, part.within)
+            self._reclaimed[job] = (now + self._settle_s, entry.within)
             spec = job.spec
             key = (*job.resources, spec.spot, spec.zone or "", tuple(spec.types or ()))
             rows[key] = rows.get(key, 0) + count
@@ -85,16 +85,17 @@
 
     def _send_reclaims(self, rows):
         """Sends reclaim requests, to the owner that borrows most first."""
-        left = dict(self._borrowed)
+        borrowed = dict(self._borrowed)
         parts = {}
         for (*need, spot, zone, types), count in rows:
-            for label in sorted(left, key=lambda label: left[label], reverse=True):
+            for label in sorted(borrowed, key=lambda label: borrowed[label], reverse=True):
                 # Owners report all that they borrow; part of it may be on machines that don't fit.
-                part = min(count, fitting_count(need, left[label]))
+                part = min(count, fitting_count(need, borrowed[label]))
                 if part > 0:
                     parts.setdefault(label, []).append((*need, part, spot, zone, list(types)))
-                    left[label] = tuple(
-                        room - part * amount for room, amount in zip(left[label], need, strict=True)
+                    borrowed[label] = tuple(
+                        available - part * amount
+                        for available, amount in zip(borrowed[label], need, strict=True)
                     )
                     count -= part
                 if not count:
@@ -114,7 +115,7 @@
         total = NO_RESOURCES
         for group in self._job_store.accounts.groups():
             for team in self._job_store.accounts.get(group).teams:
-                total = tuple(map(sum, zip(total, self._sharing.borrowed(team), strict=True)))
+                total = tuple(map(sum, zip(total, self._fair_share.borrowed(team), strict=True)))
         labels = self._member.term.members
         self._borrowed = {label: held for label, held in self._borrowed.items() if label in labels}
         for label in labels:
@@ -138,7 +139,7 @@
         now = self._loop.now()
         for group in accounts.groups():
             for team in accounts.get(group).teams:
-                ahead = self._sharing.ahead(team)
+                ahead = self._fair_share.ahead(team)
                 if ahead <= 0:
                     continue
                 for job in accounts.get(team).jobs:
@@ -187,27 +188,27 @@
 
         Returns how many of the waiting tasks fit there, 0 if nothing was stopped.
         """
-        chosen, room = [], NO_RESOURCES
+        chosen, freed = [], NO_RESOURCES
         taken = {}  # team -> resources of its tasks that would stop
         for victim in tasks:
             team, job, _index, _binding = victim
-            excess = left.setdefault(team, self._sharing.borrowed(team))
+            excess = left.setdefault(team, self._fair_share.borrowed(team))
             to_stop = tuple(map(sum, zip(taken.get(team, NO_RESOURCES), job.resources, strict=True)))
             if to_stop[0] > excess[0] + 1e-6 or to_stop[1] > excess[1] + 1e-6:
                 continue
             taken[team] = to_stop
             chosen.append(victim)
-            room = tuple(map(sum, zip(room, job.resources, strict=True)))
-            if fits(need, room):
+            freed = tuple(map(sum, zip(freed, job.resources, strict=True)))
+            if fits(need, freed):
                 break
-        if not fits(need, room):
+        if not fits(need, freed):
             return 0  # not enough on this machine: none of its tasks stops
         for team, to_stop in taken.items():
             left[team] = tuple(part - own for part, own in zip(left[team], to_stop, strict=True))
         for victim in chosen:
             victims.remove(victim)
             self._stop(*victim[1:])
-        return fitting_count(need, room)
+        return fitting_count(need, freed)
 
     def _stop(self, job, index, binding):
         self._count("tasks_preempted")
--- a/roadhead/tenants/records.py
+++ b/roadhead/tenants/records.py
@@ -97,7 +97,7 @@
         return next((team for team in self.teams if team.name == name), None)
 
     def check(self):
-        """Raises Contradiction if the record violates a constraint."""
+        """Raises InvalidTenantError if the record violates a constraint."""
         faults = []
         if not NAME_PATTERN.match(self.name):
             faults.append("name: 2 to 40 characters of a-z, 0-9 and '-', a letter first")
@@ -147,7 +147,7 @@
     def fitting(self, largest):
         """Returns a version whose record takes at most `largest` bytes as JSON.
 
-        That is this version, or one without the idempotency keys. Raises Contradiction if neither fits.
+        That is this version, or one without the idempotency keys. Raises InvalidTenantError if neither fits.
         """
         for version in (self, msgspec.structs.replace(self, requests={})):
             size = len(msgspec.json.encode(version))
@@ -178,7 +178,7 @@
     def with_key(self, digest, scopes, label, now, request=None):
         """Returns (next version, new Key).
 
-        Expired keys are dropped. Raises Contradiction if there are too many keys.
+        Expired keys are dropped. Raises InvalidTenantError if there are too many keys.
         """
         keys = [key for key in self.keys if not key.until or now < key.until]
         if len(keys) >= MAX_KEYS:
--- a/roadhead/tenants/table.py
+++ b/roadhead/tenants/table.py
@@ -30,7 +30,7 @@
 
     def __init__(self, on_change=lambda old, new: None):
         self._on_change = on_change
-        self.entries = immutables.Map()  # number -> Entry
+        self.entries = immutables.Map()  # number -> TenantEntry
 
     def take(self, key, record, stamp):
         """Takes a record that was read or received from a watch, unless it is older than the known one."""
@@ -47,11 +47,11 @@
         self._on_change(old, entry)
 
     def entry(self, number):
-        """Returns the Entry of the tenant with that number, or None."""
+        """Returns the TenantEntry of the tenant with that number, or None."""
         return self.entries.get(number)
 
     def team(self, name):
-        """Returns (Entry, Team) by the service's name for a team, or (None, None)."""
+        """Returns (TenantEntry, Team) by the service's name for a team, or (None, None)."""
         number, _own = ids.from_team(name)
         entry = self.entries.get(number) if number is not None else None
         return (entry, entry.teams.get(name)) if entry is not None else (None, None)
--- a/roadhead/tenants/teams.py
+++ b/roadhead/tenants/teams.py
@@ -142,14 +142,14 @@
             if count <= 0:
                 continue
             team = job.spec.team
-            room = left.get(team)
-            if room is None:
+            unused = left.get(team)
+            if unused is None:
                 known = self._teams.get(team)
                 held = self._held(team)
-                room = (known.cpus - held[0], known.gpus - held[1]) if known is not None else (0.0, 0.0)
-            job.within_guarantee = min(count, fitting_count(job.resources, room))
+                unused = (known.cpus - held[0], known.gpus - held[1]) if known is not None else (0.0, 0.0)
+            job.within_guarantee = min(count, fitting_count(job.resources, unused))
             left[team] = tuple(
-                free - job.within_guarantee * part for free, part in zip(room, job.resources, strict=False)
+                free - job.within_guarantee * part for free, part in zip(unused, job.resources, strict=False)
             )
             job.round_allowance = job.within_guarantee
             job.borrowed_position = LAST_POSITION
--- a/roadhead/wire/frames.py
+++ b/roadhead/wire/frames.py
@@ -120,8 +120,8 @@
         self.__dict__.update(zip(self.fields, values, strict=True))
 
     def __repr__(self):
-        inside = " ".join(f"{name}={getattr(self, name)!r}" for name in self.fields)
-        return f"<{type(self).__name__} {inside}>"
+        text = " ".join(f"{name}={getattr(self, name)!r}" for name in self.fields)
+        return f"<{type(self).__name__} {text}>"
 
     def __eq__(self, other):
         return type(self) is type(other) and self.encode() == other.encode()
@@ -377,8 +377,7 @@
 
 
 class HandoverJobs(Frame):
-    """Owners and resource requests of jobs with tasks on the machines of the `HandoverMachines` that
-    follows."""
+    """Owners and resource requests of jobs with tasks on machines of the next `HandoverMachines`."""
 
     kind, layout = 24, "R"
     fields = ("rows",)
@@ -418,7 +417,7 @@
 class JobsEnded(Frame):
     """Jobs that have ended, according to durable records or to what follows from one.
 
-    Sent only once all controllers support it (the format version barrier is open).
+    Sent only once all controllers support it (the format gate is open).
     """
 
     kind, layout = 25, "R"
@@ -430,8 +429,8 @@
     """What waiting jobs require of the jobs that they depend on. A hint: losing it costs only priority.
 
     `wanted_by`, `due_by` and `last_by` are times of day, infinite for none; `end` is the last job of the
-    pipeline, whose deadline `last_by` is. Sent only once all controllers support it (the format version
-    barrier is open).
+    pipeline, whose deadline `last_by` is. Sent only once all controllers support it (the format gate is
+    open).
     """
 
     kind, layout = 26, "R"
@@ -442,7 +441,7 @@
 class StateLimitsLowered(Frame):
     """The lower limits announced for the state service are in force.
 
-    Sent only once all controllers support it (the format version barrier is open).
+    Sent only once all controllers support it (the format gate is open).
     """
 
     kind, layout = 27, "?"
--- a/roadhead/wire/messages.py
+++ b/roadhead/wire/messages.py
@@ -24,7 +24,7 @@
 
 
 def decode(body):
-    """Decodes a CBOR value of any type. Raises Invalid."""
+    """Decodes a CBOR value of any type. Raises InvalidMessageError."""
     try:
         return cbor2.loads(body)
     except Exception as error:  # cbor2 raises exceptions of many types for malformed input
@@ -32,7 +32,7 @@
 
 
 def decode_map(body):
-    """Decodes a CBOR map. Raises Invalid."""
+    """Decodes a CBOR map. Raises InvalidMessageError."""
     value = decode(body)
     if type(value) is not dict:
         raise InvalidMessageError("not a map")
@@ -40,7 +40,7 @@
 
 
 def decode_strict_map(body):
-    """Decodes a CBOR map with unique keys that spans the whole body. Raises Invalid.
+    """Decodes a CBOR map with unique keys that spans the whole body. Raises InvalidMessageError.
 
     cbor2 keeps the last of two equal keys and ignores bytes after the value. Another decoder may behave
     differently, and controllers of different versions must give the same answer.
@@ -86,12 +86,12 @@
 
 
 def decode_as(body, struct_type):
-    """Decodes a body into a struct of type `struct_type`. Raises Invalid."""
+    """Decodes a body into a struct of type `struct_type`. Raises InvalidMessageError."""
     return parse(decode_map(body), struct_type)
 
 
 def parse(value, struct_type):
-    """Converts a decoded value into a struct of type `struct_type`. Raises Invalid."""
+    """Converts a decoded value into a struct of type `struct_type`. Raises InvalidMessageError."""
     try:
         return msgspec.convert(value, struct_type)
     except (msgspec.ValidationError, ValueError, TypeError, OverflowError) as error:
@@ -155,7 +155,7 @@
     upstream: list[str] | None = None  # ids of jobs that must be done before any task of this one starts
 
     def check(self):
-        """Raises Invalid for values that no job can have."""
+        """Raises InvalidMessageError for values that no job can have."""
         if not JOB_ID.match(self.id):
             raise InvalidMessageError("id")
         # The tasks of a group are gang-scheduled: those started first wait on their machines for the others.
@@ -228,7 +228,7 @@
     notice_s: float | None = None
 
     def check(self):
-        """Raises Invalid for numbers that don't fit an unsigned 64-bit integer."""
+        """Raises InvalidMessageError for numbers that don't fit an unsigned 64-bit integer."""
         for count in (self.session, self.sequence, self.token):
             if not 0 <= count < COUNT_LIMIT:
                 raise InvalidMessageError("count out of range")
@@ -306,7 +306,7 @@
 
 
 def split_task(name):
-    """Returns (job id, index) from a task's name. Raises Invalid for any other form."""
+    """Returns (job id, index) from a task's name. Raises InvalidMessageError for any other form."""
     job, slash, index = name.rpartition("/")
     if not slash or not index.isdigit() or len(index) > 9:
         raise InvalidMessageError(f"task name {name[:60]!r} is not JOB/INDEX")
