--- a/roadhead/local/expectations.py
+++ b/roadhead/local/expectations.py
@@ -30,13 +30,13 @@
     return []
 
 
-def _told(world, wanted, numbers):
-    assert wanted in ("done", "cancelled")
+def _told(world, expected_state, numbers):
+    assert expected_state in ("done", "cancelled")
     ids = list(world.users) if numbers == "all" else _ids(numbers)
     return [
-        f"{name} was told {world.users[name].last_state}, expected {wanted}"
+        f"{name} was told {world.users[name].last_state}, expected {expected_state}"
         for name in ids
-        if world.users[name].last_state != wanted
+        if world.users[name].last_state != expected_state
     ]
 
 
@@ -99,22 +99,22 @@
     return unfinished + stored
 
 
-def tenants_told(world, tenant, wanted):
+def tenants_told(world, tenant, expected_state):
     return [
-        f"{user.own} of {tenant} is {user.last_state}, expected {wanted}"
+        f"{user.own} of {tenant} is {user.last_state}, expected {expected_state}"
         for user in world.users.values()
-        if getattr(user, "tenant", None) == tenant and user.last_state != wanted
+        if getattr(user, "tenant", None) == tenant and user.last_state != expected_state
     ]
 
 
-def _refused_with(world, status, tenant, least):
+def _refused_with(world, status, tenant, minimum):
     count = sum(
         user.refused_with == int(status) for user in world.users.values() if user.job.get("tenant") == tenant
     )
     return (
         []
-        if count >= int(least)
-        else [f"{count} jobs of {tenant} were refused with {status}, expected at least {least}"]
+        if count >= int(minimum)
+        else [f"{count} jobs of {tenant} were refused with {status}, expected at least {minimum}"]
     )
 
 
@@ -122,8 +122,8 @@
     return [] if len(world.running) == int(count) else [f"{len(world.running)} tasks run, expected {count}"]
 
 
-def _machines(world, most):
-    return _compare("the number of rented machines", len(world.cloud.rented), "<=", most)
+def _machines(world, maximum):
+    return _compare("the number of rented machines", len(world.cloud.rented), "<=", maximum)
 
 
 def _summary(world, text):
@@ -146,20 +146,20 @@
     ]
 
 
-def _state_requests(world, _relation, most):
-    return _compare("the number of requests to the state service", world.state.requests, "<=", most)
+def _state_requests(world, _relation, maximum):
+    return _compare("the number of requests to the state service", world.state.requests, "<=", maximum)
 
 
-def _hired(world, _relation, most):
-    return _compare("the number of machines ever rented", world.cloud.names, "<=", most)
+def _hired(world, _relation, maximum):
+    return _compare("the number of machines ever rented", world.cloud.names, "<=", maximum)
 
 
-def _killed(world, _relation, most):
-    return _compare("the number of tasks killed by their lease on a worker", world.killed, "<=", most)
+def _killed(world, _relation, maximum):
+    return _compare("the number of tasks killed by their lease on a worker", world.killed, "<=", maximum)
 
 
-def _given_back(world, _relation, most):
-    return _compare("the number of tasks lost with released machines", world.given_back, "<=", most)
+def _given_back(world, _relation, maximum):
+    return _compare("the number of tasks lost with released machines", world.given_back, "<=", maximum)
 
 
 def _together(world, _which):
@@ -170,17 +170,17 @@
     ]
 
 
-def _cancelled_gone(world, _relation, most):
-    return _compare("the longest time in s that a cancelled task ran on", world.longest_gone, "<=", most)
+def _cancelled_gone(world, _relation, maximum):
+    return _compare("the longest time in s that a cancelled task ran on", world.longest_gone, "<=", maximum)
 
 
-def _reruns(world, _relation, most):
-    return _compare("the number of tasks recorded as done that ran anew", world.rules.reruns, "<=", most)
+def _reruns(world, _relation, maximum):
+    return _compare("the number of tasks recorded as done that ran anew", world.rules.reruns, "<=", maximum)
 
 
-def _cancelled_starts(world, _relation, most):
+def _cancelled_starts(world, _relation, maximum):
     count = world.rules.cancelled_starts
-    return _compare("the number of starts after a confirmed cancellation", count, "<=", most)
+    return _compare("the number of starts after a confirmed cancellation", count, "<=", maximum)
 
 
 def _begun(world, before, numbers):
--- a/roadhead/local/probes.py
+++ b/roadhead/local/probes.py
@@ -77,7 +77,7 @@
         job = {**parse_job({}), **fields, "id": f"req-{FIRST_INVALID_NUMBER + count}"}
         job.pop(without, None)
         self.ids.append(job["id"])
-        user = world.new_user(job)  # not added to the world's users, as its job must never run
+        user = world.new_user(job)  # not added to the world's users, so that no check waits for its job
         status = (await user._ask("POST", "/v1/jobs", user.submission(), 5.0)).status
         if status in (200, 201):
             world.record_violation(
--- a/roadhead/local/rules.py
+++ b/roadhead/local/rules.py
@@ -67,12 +67,12 @@
             )
 
     def _check_quota(self, task):
-        tenancy, most = self._world.tenancy, self._world.options["cpus_max"]
+        tenancy, max_cpus = self._world.tenancy, self._world.options["cpus_max"]
         if tenancy is not None and (over := tenancy.check_limits(task, self.running)):
             self.record_violation("quota", f"{task} exceeds the limit of {over}")
         team = self._world.job_of(task)["crew"]
         team_jobs = [job for t in self.running if (job := self._world.job_of(t))["crew"] == team]
-        if most and team != FREE and sum(job["vcpus"] for job in team_jobs) > most + 1e-6:
+        if max_cpus and team != FREE and sum(job["vcpus"] for job in team_jobs) > max_cpus + 1e-6:
             self.record_violation("quota", f"{task} exceeds cpus_max of team {team}")
 
     def off_machine(self, task, worker):
--- a/roadhead/local/starvation_check.py
+++ b/roadhead/local/starvation_check.py
@@ -41,12 +41,12 @@
             for task_attempt in worker.tasks.values()
             if task_attempt.status != "exited"
         }
-        most = self._world.options["cpus_max"] or float("inf")
+        max_cpus = self._world.options["cpus_max"] or float("inf")
         return {
             job["id"]
             for job in self._world.jobs.values()
             if self._may_run(job)
-            and sum(present.values()) + job["vcpus"] <= most
+            and sum(present.values()) + job["vcpus"] <= max_cpus
             and self._has_absent_task(job, present)
             and any(self._fits(job, worker) for worker in machines)
         }
@@ -61,14 +61,14 @@
         Jobs whose placement depends on other tasks count as False.
         """
         user = self._world.users[job["id"]]
-        bound = job["together"] or job["scatter"] or job["faulty"] or job["shape"] != "batch"
+        is_restricted = job["together"] or job["scatter"] or job["faulty"] or job["shape"] != "batch"
         upstream = [self._world.jobs[name] for name in job["upstream"] or () if name in self._world.jobs]
         return (
             user.accepted
-            and not bound
+            and not is_restricted
             and not user.asked_to_cancel
             and not any(other.asked_to_cancel for other in self._world.upstream_users(job["id"]))
-            and all(self._world.all_completed(one) for one in upstream)
+            and all(self._world.all_completed(upstream_job) for upstream_job in upstream)
         )
 
     def _has_absent_task(self, job, present):
--- a/roadhead/local/tenancy.py
+++ b/roadhead/local/tenancy.py
@@ -230,10 +230,10 @@
             if other.get("tenant") == job["tenant"]:
                 tenant += other["vcpus"]
                 team += other["vcpus"] * (other["crew"] == job["crew"])
-        if (most := body["limits"].get("cpus")) and tenant > most + 1e-6:
+        if (max_cpus := body["limits"].get("cpus")) and tenant > max_cpus + 1e-6:
             return job["tenant"]
-        most = next((own.get("cpus_max") for own in body["teams"] if own["name"] == job["crew"]), 0)
-        return (job["tenant"], job["crew"]) if most and team > most + 1e-6 else None
+        max_cpus = next((own.get("cpus_max") for own in body["teams"] if own["name"] == job["crew"]), 0)
+        return (job["tenant"], job["crew"]) if max_cpus and team > max_cpus + 1e-6 else None
 
     def left_of(self, number):
         """Returns the stored keys that belong to a tenant's jobs."""
