--- a/tests/test_cancel_and_move.py
+++ b/tests/test_cancel_and_move.py
@@ -5,7 +5,7 @@
 import handovers
 import mutation
 import pytest
-from test_safety import handed_over_taken_for_heard
+from test_safety import treat_handed_over_machines_as_heard
 
 from roadhead.jobs.job_store import CANCEL, JobStore
 from roadhead.local.world import World
@@ -56,7 +56,7 @@
     [
         (cancel_news_is_not_told, "move-news"),
         (marks_are_dropped_at_once, "move-marks"),
-        (handed_over_taken_for_heard, "move-back-all-end"),
+        (treat_handed_over_machines_as_heard, "move-back-all-end"),
     ],
 )
 def test_a_missing_guard_is_noticed(mutate, scenario):
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -143,9 +143,9 @@
     (old_reports_count, fault_combinations.kept_reports, 38),
     (any_token_confirms, fault_combinations.kept_reports, 42),
     (old_reports_count, fault_combinations.held_reports, 31),
-    (test_safety.freed_when_silent, fault_combinations.mute_machines, 22),
+    (test_safety.free_tasks_of_silent_machines, fault_combinations.mute_machines, 22),
     (only_running_tasks_have_a_zone, fault_combinations.zones_that_lose_machines, 11),
-    (test_safety.never_fenced, fault_combinations.deposed_commands, 0),
+    (test_safety.keep_old_tokens, fault_combinations.deposed_commands, 0),
 ]
 
 
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -1,4 +1,8 @@
-"""Each safety rule once broken on purpose: the scenario named must notice, or it guards nothing."""
+"""Mutation tests of the safety rules: each removes one guard, and the named scenario must detect it.
+
+The numbers in the docstrings are those of the safety rules in docs/design.md; "Limits" are the quota limits
+of teams.
+"""
 
 import mutation
 import pytest
@@ -23,14 +27,14 @@
 from roadhead.wire import frames, messages
 
 
-def never_fenced(patch):
-    """1: shares that move, or whose home is a new incarnation, keep their tokens."""
+def keep_old_tokens(patch):
+    """1: shards that move, or whose leader is a new incarnation, keep their fencing tokens."""
     real = ShardMap.reassign
     patch.setattr(ShardMap, "reassign", lambda self, moves, _token: real(self, moves, self.tokens[0]))
 
 
-def freed_when_silent(patch):
-    """2: tasks of a machine that was silent for a while are taken for gone."""
+def free_tasks_of_silent_machines(patch):
+    """2: tasks of a machine that was silent for 0.4 of a lease are reported as gone."""
     real = ShardLeader.tick
 
     def tick(self, term_confirmed_at):
@@ -44,8 +48,8 @@
     patch.setattr(ShardLeader, "tick", tick)
 
 
-def started_unsynced(patch):
-    """3: inherited jobs start at once."""
+def start_inherited_jobs_unreconciled(patch):
+    """3: inherited jobs start before the shard leaders have reported their running tasks."""
     real = Job.__init__
 
     def init(self, *args, **kwargs):
@@ -54,13 +58,13 @@
     patch.setattr(Job, "__init__", init)
 
 
-def renews_blindly(patch):
-    """4: a controller out of touch goes on renewing workers."""
+def renew_leases_without_contact(patch):
+    """4: a controller that has lost contact goes on renewing worker leases."""
     patch.setattr(Authority, "can_renew_leases", lambda self: True)
 
 
-def told_before_durable(patch):
-    """5: a job is called accepted before its record is written."""
+def answer_submission_before_durable(patch):
+    """5: a job is reported as accepted before its record is written."""
     real = Api._submit
 
     async def submit(self, body):
@@ -77,8 +81,8 @@
     patch.setattr(Api, "_node_answer", node_answer, raising=False)
 
 
-def overtaken_answers_not_counted(patch):
-    """2: of the reports answered only the newest message of its worker counts for the lease."""
+def ignore_renewals_by_overtaken_reports(patch):
+    """2: an answered report does not renew the lease if a newer message of its worker was received first."""
     real = ReportProcessor.answer
 
     def answer(self, report):
@@ -93,8 +97,8 @@
     patch.setattr(ReportProcessor, "answer", answer)
 
 
-def forgets_loose_launches(patch):
-    """2: an attempt is forgotten although an unanswered launch of it may still arrive."""
+def forget_unacknowledged_launches(patch):
+    """2: an attempt is forgotten although an unacknowledged launch of it may still arrive."""
     real = Machine.orders
 
     def orders(self):
@@ -105,8 +109,8 @@
     patch.setattr(Machine, "orders", orders)
 
 
-def shared_limit(patch):
-    """Limits: every controller starts tasks of a limited team, up to the whole limit each."""
+def apply_limit_per_controller(patch):
+    """Limits: every controller starts tasks of a limited team, each up to the whole limit."""
 
     def level_rooms(self, team):
         account = self._accounts.get(team)
@@ -119,26 +123,26 @@
     patch.setattr(QuotaPartitions, "owns", lambda self, team: True)
 
 
-def inherits_limits_unsure(patch):
-    """Limits: a warden counts only what it has heard of, before its takeover is complete."""
+def use_inherited_limits_unreconciled(patch):
+    """Limits: a quota leader counts only the tasks it knows of, before its failover is complete."""
     patch.setattr(Accounts, "unreconciled", lambda self, job: None)
     scanned = property(lambda self: 1 << 60, lambda self, number: None)
     patch.setattr(QuotaPartitions, "scanned", scanned, raising=False)
 
 
-def frees_when_lapsed(patch):
-    """2: a controller that may have been dropped judges leases that others may have renewed."""
+def judge_leases_with_unconfirmed_term(patch):
+    """2: a controller that may have been dropped ends leases that others may have renewed."""
     patch.setattr(Authority, "term_confirmed_at", lambda self: self._loop.now())
 
 
-def created_without_a_look_at_the_shelf(patch):
-    """5: a retry of a job that is over, and whose record has moved, makes it anew."""
+def create_without_archive_check(patch):
+    """5: a retried submission of an ended job, whose record is in the archive, creates the job again."""
     for module in ("recorder", "creation_check"):
         patch.setattr(f"roadhead.jobs.{module}.ARCHIVE", "nowhere/")
 
 
-def polls_the_shelf_first(patch):
-    """5: a record that moves between two reads is not found in either place."""
+def read_archive_first(patch):
+    """5: a record that moves to the archive between two reads is found in neither place."""
     real = RecordReader.__init__
 
     def init(self, loop, state, patience_s, places, *more):
@@ -147,22 +151,22 @@
     patch.setattr(RecordReader, "__init__", init)
 
 
-def up_taken_for_booting(patch):
-    """3: machines that are up, too, count as never heard by the home of before."""
+def treat_running_machines_as_booting(patch):
+    """3: running machines, too, count as ones that the previous shard leader never heard."""
     real = ShardLeader.apply_machine_list
 
-    def covered(self, listed, asked_at):
+    def apply_machine_list(self, listed, asked_at):
         failed = real(self, listed, asked_at)
         for machine in self.machines.values():
             machine.born_at = asked_at
         self.reconciliation.answer_syncs()
         return failed
 
-    patch.setattr(ShardLeader, "apply_machine_list", covered)
+    patch.setattr(ShardLeader, "apply_machine_list", apply_machine_list)
 
 
-def handed_over_taken_for_heard(patch):
-    """2, 3: a machine given away counts as heard by its new home, since the old one had heard it."""
+def treat_handed_over_machines_as_heard(patch):
+    """2, 3: a machine that was handed over counts as heard by its new leader because the old one heard it."""
     real = ShardLeader.on_handover
 
     def on_handover(self, frame):
@@ -177,107 +181,107 @@
     patch.setattr(ShardLeader, "on_handover", on_handover)
 
 
-def moved_without_a_fence(patch):
-    """3: a share that comes to a home is taken for known at once."""
+def move_shards_without_fence(patch):
+    """3: a shard that moves to a leader counts as reconciled at once."""
     real = ShardReconciliation.fence_shards
 
-    def fence(self, shards, short):
+    def fence_shards(self, shards, short):
         real(self, shards, short)
         for shard in shards:
             self._fences[shard].since = self._loop.now()
             self._fences[shard].covered = True
             self._fences[shard].awaited.clear()
 
-    patch.setattr(ShardReconciliation, "fence_shards", fence)
+    patch.setattr(ShardReconciliation, "fence_shards", fence_shards)
 
 
-def links_tell_only_what_is_new(patch):
-    """4: a link that comes up brings no word of what was cancelled while it was down."""
+def send_only_new_cancellations_on_connect(patch):
+    """4: a peer that reconnects is not told of the cancellations made while the link was down."""
     patch.setattr(KnownCancellations, "all", lambda self: [])
 
 
-def members_alone_are_heard(patch):
-    """4: whoever the term known here does not name is not asked for."""
+def require_contact_with_members_only(patch):
+    """4: contact is not required with controllers that the locally known term does not name."""
     real = Authority.all_peers_heard_at
 
-    def heard_at(self):
+    def all_peers_heard_at(self):
         named = [label for label in self._others if label in self._member.term.members]
-        with pytest.MonkeyPatch.context() as within:
-            within.setattr(self, "_others", named)
+        with pytest.MonkeyPatch.context() as inner_patch:
+            inner_patch.setattr(self, "_others", named)
             return real(self)
 
-    patch.setattr(Authority, "all_peers_heard_at", heard_at)
+    patch.setattr(Authority, "all_peers_heard_at", all_peers_heard_at)
 
 
-def non_members_are_silent(patch):
-    """4: a dropped controller that can't join again says nothing, so that the others are out of touch."""
+def silence_non_members(patch):
+    """4: a dropped controller that can't rejoin sends no heartbeats, so that the others lose contact."""
     patch.setattr(Node, "_speaks", lambda self: self.member.joined)
 
 
-def cancelled_count_for_nothing(patch):
-    """Limits: tasks of jobs that were cancelled before the heir read the records are not thought of."""
+def ignore_cancelled_tasks_in_limits(patch):
+    """Limits: tasks of jobs that were cancelled before the successor read the records are not counted."""
     real = QuotaPartitions.all_read
     patch.setattr(QuotaPartitions, "all_read", lambda self, number, _gone_at: real(self, number, None))
 
 
-def covers_what_it_left(patch):
-    """3: a list counts as taken in although machines of it were not taken on."""
+def treat_partly_applied_list_as_complete(patch):
+    """3: a machine list counts as applied although some of its machines were not registered."""
     real = ShardReconciliation.apply_list
     patch.setattr(ShardReconciliation, "apply_list", lambda self, asked_at, _left: real(self, asked_at, ()))
 
 
-def takes_on_what_boots_later(patch):
-    """3: a home whose lease has ended hears machines that came up since."""
+def register_machines_after_lease_end(patch):
+    """3: a shard leader whose lease has ended accepts reports of machines that booted since."""
     patch.setattr(ReportProcessor, "_too_late", lambda self, machine: False)
 
 
-def back_is_sure_soon(patch):
-    """3: whoever is back in its own place takes the short fence, whoever else may have been home before."""
+def always_use_short_fence(patch):
+    """3: a controller that rejoins uses the short fence even if others led its shards in the meantime."""
     real = ShardLeader.begin
     patch.setattr(ShardLeader, "begin", lambda self, _short: real(self, True))
 
 
-def terms_are_not_told(patch):
-    """4: a term is learned from the state service alone, and hearing the others counts as being in touch."""
+def do_not_send_terms_to_peers(patch):
+    """4: terms are learned from the state service alone, yet heartbeats of the others count as contact."""
     patch.setattr(FrameRouter, "send_term", lambda self, label: None)
 
 
 @pytest.mark.parametrize(
-    ("sabotage", "scenario"),
+    ("mutate", "scenario"),
     [
-        (terms_are_not_told, "refused-leader-told"),
-        (back_is_sure_soon, "back-before-sure"),
-        (takes_on_what_boots_later, "meeting-boots-at-the-cut"),
-        (covers_what_it_left, "meeting-lapsed-heir"),
-        (cancelled_count_for_nothing, "limit-cancelled"),
-        (links_tell_only_what_is_new, "meeting-refused-then-down"),
-        (members_alone_are_heard, "meeting-alone"),
-        (handed_over_taken_for_heard, "cut-in-two"),
-        (moved_without_a_fence, "stall-takeover"),
-        (created_without_a_look_at_the_shelf, "shelf"),
-        (polls_the_shelf_first, "shelf-polled"),
-        (never_fenced, "takeover-room"),
-        (freed_when_silent, "hung-machine"),
-        (overtaken_answers_not_counted, "overtaken-reports"),
-        (started_unsynced, "takeover-running"),
-        (up_taken_for_booting, "takeover-running"),
-        (renews_blindly, "cut-zone"),
-        (told_before_durable, "crash-all-outage"),
-        (shared_limit, "limit"),
-        (inherits_limits_unsure, "limit-takeover"),
-        (forgets_loose_launches, "late-launch-cancel"),
-        (frees_when_lapsed, "cut-in-two"),
-        (never_fenced, "back-takeover-room"),
-        (started_unsynced, "back-late-copies"),
-        (started_unsynced, "move-ten-leaders"),
+        (do_not_send_terms_to_peers, "refused-leader-told"),
+        (always_use_short_fence, "back-before-sure"),
+        (register_machines_after_lease_end, "meeting-boots-at-the-cut"),
+        (treat_partly_applied_list_as_complete, "meeting-lapsed-heir"),
+        (ignore_cancelled_tasks_in_limits, "limit-cancelled"),
+        (send_only_new_cancellations_on_connect, "meeting-refused-then-down"),
+        (require_contact_with_members_only, "meeting-alone"),
+        (treat_handed_over_machines_as_heard, "cut-in-two"),
+        (move_shards_without_fence, "stall-takeover"),
+        (create_without_archive_check, "shelf"),
+        (read_archive_first, "shelf-polled"),
+        (keep_old_tokens, "takeover-room"),
+        (free_tasks_of_silent_machines, "hung-machine"),
+        (ignore_renewals_by_overtaken_reports, "overtaken-reports"),
+        (start_inherited_jobs_unreconciled, "takeover-running"),
+        (treat_running_machines_as_booting, "takeover-running"),
+        (renew_leases_without_contact, "cut-zone"),
+        (answer_submission_before_durable, "crash-all-outage"),
+        (apply_limit_per_controller, "limit"),
+        (use_inherited_limits_unreconciled, "limit-takeover"),
+        (forget_unacknowledged_launches, "late-launch-cancel"),
+        (judge_leases_with_unconfirmed_term, "cut-in-two"),
+        (keep_old_tokens, "back-takeover-room"),
+        (start_inherited_jobs_unreconciled, "back-late-copies"),
+        (start_inherited_jobs_unreconciled, "move-ten-leaders"),
     ],
 )
-def test_breaking_a_safety_rule_is_noticed(sabotage, scenario):
-    mutation.assert_noticed(sabotage, scenario)
+def test_breaking_a_safety_rule_is_detected(mutate, scenario):
+    mutation.assert_noticed(mutate, scenario)
 
 
-def test_results_that_an_heir_does_not_take_over_are_noticed():
-    """5: an heir starts all tasks of a job, not those alone that no record calls done."""
+def test_a_successor_that_reruns_recorded_tasks_is_detected():
+    """5: a successor that ignores the tasks recorded as done runs them again."""
     text = mutation.text_of("meeting-ends-apart")
     real = from_record
     with pytest.MonkeyPatch.context() as patch:
@@ -288,17 +292,17 @@
         assert any("ran anew" in fault for fault in World(text).run().check())
 
 
-def test_jobs_that_nobody_takes_over_after_all_were_away_are_noticed():
-    """All controllers were away for longer than a lease: what their owners had accepted stays as it was."""
+def test_jobs_left_unowned_after_all_controllers_were_down_are_detected():
+    """All controllers are down for longer than a lease, and then nobody takes over the accepted jobs."""
     text = mutation.text_of("hang-all-away")
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(JobStore, "take_over", lambda self, items: None)
         assert any("was told" in fault for fault in World(text).run().check())
 
 
-def test_silence_of_who_is_no_member_is_noticed():
-    """No rule breaks, but the others let go of their machines: the scenario's bound on that notices."""
+def test_silent_non_members_are_detected():
+    """No rule breaks, but the others release their machines, which exceeds the scenario's bound on kills."""
     text = mutation.text_of("meeting-dropped-then-down")
     with pytest.MonkeyPatch.context() as patch:
-        non_members_are_silent(patch)
+        silence_non_members(patch)
         assert any("killed by their lease" in fault for fault in World(text).run().check())
--- a/tests/test_worker_leases.py
+++ b/tests/test_worker_leases.py
@@ -4,7 +4,7 @@
 import pytest
 from hunt import played_report_orders
 from mutation import text_of
-from test_safety import overtaken_answers_not_counted
+from test_safety import ignore_renewals_by_overtaken_reports
 
 from roadhead.api.reports import WorkerReports
 from roadhead.decision_log import Decision
@@ -168,7 +168,7 @@
     """From the lines alone: a report that was answered and not counted, the lease judged from the one before,
     the task freed by that, and launched elsewhere while the worker's lease was not over."""
     with pytest.MonkeyPatch.context() as patch:
-        overtaken_answers_not_counted(patch)
+        ignore_renewals_by_overtaken_reports(patch)
         world = World(text_of("overtaken-reports")).run()
     assert "ran_twice" in world.violations[0]
     task, first, second = (world.violations[0].split()[place] for place in (2, 4, 6))
