--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -1,11 +1,14 @@
-"""A write is carried out and only its answer lost, or seconds late, while others read what it wrote."""
+"""Writes to the state service whose answer is lost, or that take effect seconds late while others read them.
+
+The numbers in the docstrings of mutations are those of the safety rules in docs/design.md.
+"""
 
 import itertools
 from types import SimpleNamespace
 
 import mutation
 import pytest
-from test_read_order import never_compared
+from test_read_order import skip_stamp_comparison
 from write_faults import Fault, Sender, play
 from write_kinds import KINDS
 
@@ -26,7 +29,7 @@
 from roadhead.state.client import StateClient, UnavailableError, UnknownOutcomeError
 from roadhead.wire import messages
 
-FATES = (
+ANSWER_FAULTS = (
     {"late_s": 0.0},
     {"late_s": 0.0, "reset": True, "repeats": 2},
     {"late_s": 4.5},
@@ -34,27 +37,30 @@
 )
 
 
-def unmet_expectations(kind):
-    """A sample of `write_faults.cases()`: each fate, each sender twice."""
+def sampled_faults(kind):
+    """Yields a sample of `write_faults.cases()`: each of ANSWER_FAULTS with two of the senders."""
     senders = itertools.cycle(Sender)
-    for fate in FATES:
-        yield Fault(kind, sender=next(senders), **fate)
+    for answer_fault in ANSWER_FAULTS:
+        yield Fault(kind, sender=next(senders), **answer_fault)
         next(senders)
-        yield Fault(kind, sender=next(senders), **fate)
+        yield Fault(kind, sender=next(senders), **answer_fault)
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_write_whose_answer_is_lost_or_that_comes_late(kind):
-    outcomes = {fault: play(fault) for fault in unmet_expectations(kind)}
+    outcomes = {fault: play(fault) for fault in sampled_faults(kind)}
     assert {str(fault): outcome.faults for fault, outcome in outcomes.items() if outcome.faults} == {}
     assert sum(bool(outcome.struck) for outcome in outcomes.values()) >= len(outcomes) // 2
 
 
-# Mutations, at the service: what the writers ask of it is taken out of their transactions.
+# Mutations of the state service: it ignores conditions of the transactions that writers send.
+
 
+def without_conditions(is_removed):
+    """Returns a function that makes a world's state service ignore conditions.
 
-def without_conditions(wanted):
-    """Prepares a world whose service does not look at conditions that `wanted(key, stamp, writes)` names."""
+    Ignored are those for which `is_removed(key, stamp, writes)` is true.
+    """
 
     def prepare(world):
         real = world.state.handle
@@ -66,7 +72,7 @@
                     "if": [
                         condition
                         for condition in body["if"]
-                        if not wanted(condition["k"], condition["stamp"], body["writes"])
+                        if not is_removed(condition["k"], condition["stamp"], body["writes"])
                     ],
                 }
             return await real(method, path, args, body, host)
@@ -76,57 +82,57 @@
     return prepare
 
 
-def stamps_of_records(key, stamp, _writes):
-    """5: records are written whatever is there."""
+def is_record_stamp(key, stamp, _writes):
+    """5: job records are overwritten whatever their stamp is."""
     return key.startswith(KEY) and stamp != 0
 
 
-def creations_need_no_term(key, _stamp, writes):
-    """5: a creation takes effect although its owner was dropped meanwhile."""
+def is_term_of_creation(key, _stamp, writes):
+    """5: a creation takes effect although its owner was dropped in the meantime."""
     return key == TERM and not any(write.get("put") == TERM for write in writes)
 
 
-def entry_without_its_own_stamp(key, _stamp, writes):
-    """Membership: an earlier entry that comes late replaces the newer one."""
+def is_stamp_of_own_member_entry(key, _stamp, writes):
+    """Membership: an earlier member entry that takes effect late replaces the newer one."""
     return any(write.get("put") == key for write in writes) and key.startswith(MEMBER)
 
 
-def term_without_its_stamp(key, _stamp, writes):
-    """1: a term is written whatever term is there."""
+def is_stamp_of_term(key, _stamp, writes):
+    """1: a term is written whatever term is stored."""
     return key == TERM and any(write.get("put") == TERM for write in writes)
 
 
 @pytest.mark.parametrize(
-    ("missing", "kind", "late_s"),
+    ("is_removed", "kind", "late_s"),
     [
-        (stamps_of_records, "progress", (4.5, 7.0, 12.0)),
-        (stamps_of_records, "release", (7.0,)),
-        (creations_need_no_term, "creation", (0.6, 0.9)),
-        (term_without_its_stamp, "move", (2.0, 4.5)),
-        (term_without_its_stamp, "join", (2.0, 4.5)),
+        (is_record_stamp, "progress", (4.5, 7.0, 12.0)),
+        (is_record_stamp, "release", (7.0,)),
+        (is_term_of_creation, "creation", (0.6, 0.9)),
+        (is_stamp_of_term, "move", (2.0, 4.5)),
+        (is_stamp_of_term, "join", (2.0, 4.5)),
     ],
 )
-def test_a_condition_that_is_missing_is_noticed(missing, kind, late_s):
+def test_a_missing_condition_is_detected(is_removed, kind, late_s):
     for nth, late, sender in itertools.product((0, 1, 2, 3), late_s, Sender):
         fault = Fault(kind, nth, late, sender)
-        if play(fault, prepare=without_conditions(missing)).faults:
+        if play(fault, prepare=without_conditions(is_removed)).faults:
             assert play(fault).faults == ()
             return
-    raise AssertionError(f"not noticed: {missing.__doc__}")
+    raise AssertionError(f"not noticed: {is_removed.__doc__}")
 
 
-def test_an_entry_without_its_own_stamp_costs_a_living_member_its_place():
+def test_a_member_entry_without_its_stamp_drops_a_live_member():
     fault = Fault("entry", late_s=2.0, reset=True)
     assert play(fault).joins == 3
-    assert play(fault, prepare=without_conditions(entry_without_its_own_stamp)).joins > 3
+    assert play(fault, prepare=without_conditions(is_stamp_of_own_member_entry)).joins > 3
 
 
-def gate_without_conditions(_key, _stamp, writes):
-    """The gate: whatever is there is replaced, also by an earlier record that comes late."""
+def is_condition_of_format_gate(_key, _stamp, writes):
+    """Format gate: its record is replaced whatever it is, also by an earlier one that takes effect late."""
     return any(write.get("put") == GATE for write in writes)
 
 
-ONE_JOINS_LATER = """
+LATE_JOIN = """
 capacity 6
 at 0 crash 2 5
 at 1 submit count=5 legs=4 runS=6
@@ -134,15 +140,15 @@
 """
 
 
-def test_a_gate_without_conditions_is_noticed():
+def test_a_format_gate_without_conditions_is_detected():
     fault = Fault("gate", late_s=12.0)
-    outcome = play(fault, ONE_JOINS_LATER, prepare=without_conditions(gate_without_conditions))
+    outcome = play(fault, LATE_JOIN, prepare=without_conditions(is_condition_of_format_gate))
     assert "the format in force falls to 3" in outcome.faults
-    assert play(fault, ONE_JOINS_LATER).faults == ()
+    assert play(fault, LATE_JOIN).faults == ()
 
 
-def leases_are_asked_for_once(patch):
-    """Membership: whoever hears no answer to its lease waits for it for ever."""
+def request_lease_once(patch):
+    """Membership: a controller whose lease request gets no answer waits for it forever."""
     real = StateClient.lease
 
     async def lease(self, life_s):
@@ -154,33 +160,33 @@
     patch.setattr(StateClient, "lease", lease)
 
 
-def test_a_lease_that_is_asked_for_once_costs_its_controller_its_place():
+def test_a_lease_request_that_is_not_repeated_keeps_its_controller_from_joining():
     fault = Fault("lease", reset=True)
     with pytest.MonkeyPatch.context() as patch:
-        leases_are_asked_for_once(patch)
+        request_lease_once(patch)
         joins = play(fault).joins
     assert joins < play(fault).joins
 
 
-def failed_renewals_count_as_made(patch):
-    """Membership: a lease is believed in although no renewal of it was answered."""
+def ignore_failed_lease_renewals(patch):
+    """Membership: a lease counts as renewed although no renewal was answered."""
     real = StateClient.renew_lease
 
-    async def touch(self, permit):
+    async def renew_lease(self, permit):
         try:
             await real(self, permit)
         except (UnknownOutcomeError, UnavailableError):
             pass
 
-    patch.setattr(StateClient, "renew_lease", touch)
+    patch.setattr(StateClient, "renew_lease", renew_lease)
 
 
-def test_a_renewal_that_failed_and_counts_as_made_is_noticed():
-    mutation.assert_noticed(failed_renewals_count_as_made, "meeting-boots-at-the-cut")
+def test_counting_a_failed_renewal_as_made_is_detected():
+    mutation.assert_noticed(ignore_failed_lease_renewals, "meeting-boots-at-the-cut")
 
 
-def moves_in_two_transactions(patch):
-    """5: a record leaves its place before it is where it is looked for next."""
+def archive_in_two_transactions(patch):
+    """5: a record is deleted before it is written to the archive, where readers look next."""
 
     async def move(self, moves):
         await self._state.multi([], [{"drop": KEY + job_id} for job_id, _record, _stamp in moves])
@@ -191,8 +197,8 @@
     patch.setattr(RecordArchiver, "_move", move)
 
 
-def parts_of_tries_mix(patch):
-    """Pipelines: a part without an answer goes under another key next, and all tries have one nonce."""
+def reuse_nonce_across_retries(patch):
+    """Pipelines: a part whose write got no answer is retried under another key with the same nonce."""
     real = StateClient.multi
     patch.setattr(upstream_parts, "secrets", SimpleNamespace(token_hex=lambda _count: "0"))
 
@@ -208,7 +214,7 @@
     patch.setattr(StateClient, "multi", multi)
 
 
-PARTS_READ_BY_HEIRS = """
+PARTS_READ_BY_SUCCESSORS = """
 capacity 10
 value_kb 1
 txn_ops 5
@@ -221,8 +227,8 @@
 """
 
 
-def incarnations_are_counted_from_the_members(patch):
-    """1: a number that a member had that was dropped since is given again."""
+def reuse_incarnations_of_dropped_members(patch):
+    """1: the incarnation number of a member that was dropped is assigned again."""
     real = Term.join
 
     def join(self, label, nonce):
@@ -236,20 +242,20 @@
     patch.setattr(Term, "join", join)
 
 
-def unknown_keys_are_refused_at_once(patch):
-    """Tenants: a gateway whose watch lags answers 401 on a key that was made through another."""
+def refuse_unknown_keys_at_once(patch):
+    """Tenants: a gateway whose watch lags answers 401 for a key that was created through another gateway."""
 
-    async def from_the_table(self, text):
+    async def authenticate_from_table(self, text):
         return authenticate(self._table, self._secrets, text, self._time_of_day())
 
-    patch.setattr(TenantsApi, "_authenticate", from_the_table)
+    patch.setattr(TenantsApi, "_authenticate", authenticate_from_table)
 
 
-def own_creation_is_not_recognized(patch):
-    """5: whoever finds its own record after a lost answer takes it for somebody else's."""
+def do_not_recognize_own_creation(patch):
+    """5: a creator that finds its own record after a lost answer takes it for another creator's."""
     real = JobStore._on_conflict
 
-    def conflict(self, job, record, stamp):
+    def on_conflict(self, job, record, stamp):
         pending = self._finish_creation(job)
         if pending is None:
             return real(self, job, record, stamp)
@@ -258,19 +264,19 @@
         return None
 
     patch.setattr(RecordWrite, "is_stored_as", lambda _self, _record: False)
-    patch.setattr(JobStore, "_on_conflict", conflict)
+    patch.setattr(JobStore, "_on_conflict", on_conflict)
 
 
 @pytest.mark.parametrize(
     ("mutate", "kind", "text"),
     [
-        (incarnations_are_counted_from_the_members, "join", None),
-        # No controller ends here: else the heirs of the one that does would find the job.
-        (own_creation_is_not_recognized, "creation", "at 1 submit count=4 legs=2 runS=4\nuntil 90"),
-        (parts_of_tries_mix, "parts", PARTS_READ_BY_HEIRS),
+        (reuse_incarnations_of_dropped_members, "join", None),
+        # No controller ends in this scenario: the successors of one that ended would find the job.
+        (do_not_recognize_own_creation, "creation", "at 1 submit count=4 legs=2 runS=4\nuntil 90"),
+        (reuse_nonce_across_retries, "parts", PARTS_READ_BY_SUCCESSORS),
     ],
 )
-def test_a_guard_that_is_taken_out_is_noticed(mutate, kind, text):
+def test_a_removed_guard_is_detected_by_write_faults(mutate, kind, text):
     for nth, sender in itertools.product(range(5), Sender):
         fault = Fault(kind, nth, 0.0, sender, reset=True)
         with pytest.MonkeyPatch.context() as patch:
@@ -282,10 +288,10 @@
     raise AssertionError(f"not noticed: {mutate.__doc__}")
 
 
-def test_a_move_to_the_archive_in_two_transactions_is_noticed():
+def test_archiving_in_two_transactions_is_detected():
     fault = Fault("archive", late_s=7.0, sender=Sender.ENDS)
     with pytest.MonkeyPatch.context() as patch:
-        moves_in_two_transactions(patch)
+        archive_in_two_transactions(patch)
         assert any("forgotten" in text for text in play(fault).faults)
     assert play(fault).faults == ()
 
@@ -301,16 +307,16 @@
 """
 
 
-def test_a_new_key_is_good_at_a_gateway_that_the_service_refuses():
+def test_a_gateway_that_the_state_service_refuses_accepts_a_new_key():
     fault = Fault("tenant", 4, 2.0, Sender.REFUSED)
     with pytest.MonkeyPatch.context() as patch:
-        unknown_keys_are_refused_at_once(patch)
+        refuse_unknown_keys_at_once(patch)
         assert any("gave up" in text for text in play(fault, NEW_TENANTS).faults)
     assert play(fault, NEW_TENANTS).faults == ()
 
 
-def marks_are_dropped_early(patch):
-    """4: the mark of a cancellation goes as soon as its job's owner has heard of it."""
+def delete_cancellation_mark_early(patch):
+    """4: the mark of a cancellation is deleted as soon as the job's owner has learned of it."""
     real = JobStore.cancelled
 
     def cancelled(self, job_id, record=None):
@@ -321,25 +327,23 @@
     patch.setattr(JobStore, "cancelled", cancelled)
 
 
-def test_a_mark_that_is_dropped_early_is_noticed():
-    mutation.assert_noticed(marks_are_dropped_early, "late-transaction-mark")
+def test_deleting_a_cancellation_mark_early_is_detected():
+    mutation.assert_noticed(delete_cancellation_mark_early, "late-transaction-mark")
 
 
-def records_without_stamps(patch):
-    """5: the service carries out writes of records whatever is there."""
+def ignore_record_stamps(patch):
+    """5: the state service carries out writes of job records whatever their stamp is."""
     real = StateServiceEmulator.multi
 
     def multi(self, body):
-        kept = [
-            item for item in body["if"] if not stamps_of_records(item["k"], item["stamp"], body["writes"])
-        ]
+        kept = [item for item in body["if"] if not is_record_stamp(item["k"], item["stamp"], body["writes"])]
         return real(self, {**body, "if": kept})
 
     patch.setattr(StateServiceEmulator, "multi", multi)
 
 
-def unsure_is_told_as_cancelled(patch):
-    """5: a cancellation that is not known to be durable is confirmed all the same."""
+def confirm_uncertain_cancellations(patch):
+    """5: a cancellation is confirmed although it may not be durable."""
     real = Api._cancel
 
     async def cancel(self, job_id):
@@ -349,21 +353,21 @@
     patch.setattr(Api, "_cancel", cancel)
 
 
-def cancellations_are_not_passed_on(patch):
-    """4: who is refused by the service alone hears of cancellations from nobody."""
+def do_not_forward_cancellations(patch):
+    """4: a controller that only the state service refuses learns of cancellations from nobody."""
     patch.setattr(Node, "_tell_cancelled", lambda self, label, jobs: None)
 
 
 @pytest.mark.parametrize(
     ("mutate", "scenario"),
     [
-        (records_without_stamps, "late-transaction-many"),
-        (unsure_is_told_as_cancelled, "lost-refused-cancelled"),
-        (unsure_is_told_as_cancelled, "lost-slow-state"),
-        (unsure_is_told_as_cancelled, "lost-slow-then-refused"),
-        (cancellations_are_not_passed_on, "lost-refused-cancelled"),
-        (never_compared, "read-lost-answers"),
+        (ignore_record_stamps, "late-transaction-many"),
+        (confirm_uncertain_cancellations, "lost-refused-cancelled"),
+        (confirm_uncertain_cancellations, "lost-slow-state"),
+        (confirm_uncertain_cancellations, "lost-slow-then-refused"),
+        (do_not_forward_cancellations, "lost-refused-cancelled"),
+        (skip_stamp_comparison, "read-lost-answers"),
     ],
 )
-def test_a_scenario_notices_a_guard_that_is_taken_out(mutate, scenario):
+def test_a_removed_guard_is_detected_by_a_scenario(mutate, scenario):
     mutation.assert_noticed(mutate, scenario)
--- a/tests/test_read_order.py
+++ b/tests/test_read_order.py
@@ -147,7 +147,7 @@
         assert asked_while_it_is_made() == 404
 
 
-def never_compared(patch):
+def skip_stamp_comparison(patch):
     """What was read before is told again without a look at its stamps."""
 
     async def compare(self, batch, known):
@@ -227,8 +227,8 @@
 @pytest.mark.parametrize(
     ("mutate", "event", "condition"),
     [
-        (never_compared, "cancelled", "answers of reads late"),
-        (never_compared, "called off", "answers of reads late"),
+        (skip_stamp_comparison, "cancelled", "answers of reads late"),
+        (skip_stamp_comparison, "called off", "answers of reads late"),
         (missing_for_ever, "accepted", "well"),
         (over_before_durable, "both", "refused by the state service"),
         (told_from_memory, "cancelled", "watch lags"),
