--- a/tests/test_limits_and_failover.py
+++ b/tests/test_limits_and_failover.py
@@ -1,4 +1,4 @@
-"""Teams at their limit while a quota leader changes, and tasks of cancelled jobs may still run."""
+"""Quota limits while a quota leader changes and tasks of cancelled jobs may still run."""
 
 from types import SimpleNamespace
 
@@ -18,8 +18,8 @@
 MEMBERS = {"a": (1, 1, ""), "b": (2, 2, ""), "c": (3, 3, "")}
 
 
-def hands_on_what_may_run_cancelled(patch):
-    """A heir hands on a quota partition although tasks cancelled before it read the records may run."""
+def hand_over_partitions_with_cancelled_tasks(patch):
+    """A successor hands over a quota partition while tasks cancelled before it read the records may run."""
     real = QuotaPartitions.idle
 
     def idle(self, groups):
@@ -30,8 +30,8 @@
     patch.setattr(QuotaPartitions, "idle", idle)
 
 
-def lets_go_what_is_cancelled(patch):
-    """Tasks of a cancelled job count for nothing at once, whatever their machines still do."""
+def release_cancelled_tasks_at_once(patch):
+    """Tasks of a cancelled job stop counting at once, even if they still run on their machines."""
     real = JobStore.cancelled
 
     def cancelled(self, job_id, record=None):
@@ -43,44 +43,44 @@
     patch.setattr(JobStore, "cancelled", cancelled)
 
 
-def second_heir_counts_nothing(patch):
-    """Cancelled tasks are waited for by the first heir alone: at a second change of leader nobody does."""
-    real, heirs = QuotaPartitions.all_read, []
+def count_cancelled_tasks_at_first_successor_only(patch):
+    """Only the first successor waits for cancelled tasks; after a second change of leader nobody does."""
+    real, successors = QuotaPartitions.all_read, []
 
     def all_read(self, number, gone_at):
-        if gone_at is not None and self not in heirs:
-            heirs.append(self)
-        real(self, number, gone_at if heirs[:1] == [self] else None)
+        if gone_at is not None and self not in successors:
+            successors.append(self)
+        real(self, number, gone_at if successors[:1] == [self] else None)
 
     patch.setattr(QuotaPartitions, "all_read", all_read)
 
 
-def cancelled_count_for_nothing(patch):
-    """Tasks of jobs that were cancelled before the heir read the records are not thought of."""
+def ignore_cancelled_tasks(patch):
+    """Tasks of jobs that were cancelled before the successor read the records are not counted."""
     real = QuotaPartitions.all_read
     patch.setattr(QuotaPartitions, "all_read", lambda self, number, _gone_at: real(self, number, None))
 
 
-def starts_before_all_homes_told(patch):
-    """An heir starts new work before every home has told of what it inherited."""
+def start_before_all_leaders_reported(patch):
+    """A successor starts new tasks before every shard leader has reported the inherited ones."""
     patch.setattr(Accounts, "unreconciled", lambda self, job: None)
 
 
 @pytest.mark.parametrize(
-    ("mutation", "scenario"),
+    ("mutate", "scenario"),
     [
-        (hands_on_what_may_run_cancelled, "limit-slot-handed-on"),
-        (lets_go_what_is_cancelled, "hang-cancelled"),
-        (second_heir_counts_nothing, "hang-second-failover"),
-        (starts_before_all_homes_told, "limit-takeover"),
-        (cancelled_count_for_nothing, "limit-lowered"),
+        (hand_over_partitions_with_cancelled_tasks, "limit-slot-handed-on"),
+        (release_cancelled_tasks_at_once, "hang-cancelled"),
+        (count_cancelled_tasks_at_first_successor_only, "hang-second-failover"),
+        (start_before_all_leaders_reported, "limit-takeover"),
+        (ignore_cancelled_tasks, "limit-lowered"),
     ],
 )
-def test_a_guard_taken_out_is_noticed(mutation, scenario):
-    assert_noticed(mutation, scenario)
+def test_a_removed_guard_is_detected(mutate, scenario):
+    assert_noticed(mutate, scenario)
 
 
-# One in so many; `limit_failovers.py` plays all of them.
+# A sample at a fixed stride; `limit_failovers.py` plays all cases.
 SAMPLE = [
     *list(combinations())[:: len(COURSES) * 4 + 1],
     *list(hosted_combinations())[:: len(COURSES) * 8 + 1],
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("case", SAMPLE, ids=lambda case: "-".join(map(str, case[0])))
-def test_a_team_at_its_limit_is_served_whatever_comes_together(case):
+def test_a_team_at_its_limit_is_served_under_combined_faults(case):
     _which, faults, undone, left_behind = played(case)
     assert (faults, undone, left_behind) == ([], [], [])
 
@@ -118,8 +118,8 @@
     assert all(user.last_state == "done" for user in world.users.values())
 
 
-def test_a_job_cancelled_before_it_is_taken_over_is_let_go():
-    """Nothing of it is to be written any more: it was kept as one being taken over for ever."""
+def test_a_job_cancelled_before_its_failover_ends_is_released():
+    """Nothing of such a job is left to write, so it once stayed in the failover state forever."""
     wanted = (2, "cut", "during", "back at once")
     case = next(case for case in combinations() if case[0] == wanted)
     assert played(case)[1:] == ([], [], [])
@@ -128,14 +128,14 @@
 @pytest.mark.parametrize(
     ("old", "new", "closing", "unread"),
     [
-        ((4, "b"), (5, "a"), set(), set()),  # given by one that lives on, and had nothing of it
-        ((4, "b"), (6, "a"), set(), {0}),  # in between it may have been with one that ended
-        ((4, "a"), (6, "a"), set(), set()),  # ours all along: we alone could have given it
-        ((4, "a"), (6, "a"), {0}, {0}),  # we may have: it went, and came back when its leader ended
-        ((4, "a"), (5, "a"), {0}, set()),  # the very next term shows that it did not go
+        ((4, "b"), (5, "a"), set(), set()),  # handed over by a live leader that had no tasks in it
+        ((4, "b"), (6, "a"), set(), {0}),  # term 5 was not seen: its leader may have ended
+        ((4, "a"), (6, "a"), set(), set()),  # still ours: only we could have handed it over
+        ((4, "a"), (6, "a"), {0}, {0}),  # we may have handed it over, and it came back when its leader ended
+        ((4, "a"), (5, "a"), {0}, set()),  # consecutive terms: it was not handed over
     ],
 )
-def test_a_partition_that_may_have_changed_hands_unseen_is_read_anew(old, new, closing, unread):
+def test_a_partition_that_may_have_changed_leaders_unseen_is_read_again(old, new, closing, unread):
     quota = QuotaPartitions(None, SimpleNamespace(label="a"), None, None)
     quota.closing = closing
     quota.held_since = {0: 2} if old[1] == "a" else {}
@@ -145,30 +145,30 @@
     assert (quota.held_since[0] == new.number) == (bool(unread) or old.quota_leaders != new.quota_leaders)
 
 
-def counts_nothing_that_waits(patch):
-    """Work that a quota leader let go before it ended counts for nothing until its heir lets it go too."""
+def ignore_waiting_jobs(patch):
+    """Jobs that the quota leader released before it ended don't count while they wait at its successor."""
     patch.setattr(Accounts, "unreconciled", lambda self, job: None)
 
 
-def asks_for_nothing_cancelled(patch):
-    """A job that waits at an heir is cancelled, and the homes are not asked for its tasks."""
+def do_not_query_cancelled_waiting_jobs(patch):
+    """Shard leaders are not asked for the tasks of a job that is cancelled while waiting at a successor."""
     patch.setattr(JobStore, "_ask_for_tasks", lambda self, job: self._perhaps_started.pop(job, None))
     patch.setattr(Accounts, "unreconciled", lambda self, job: None)
 
 
-def reads_upstream_late(patch, seconds):
-    """What inherited jobs need is read that much later, as from a slow state service."""
+def delay_upstream_reads(patch, seconds):
+    """Delays reads of the upstream of inherited jobs by `seconds`, as a slow state service would."""
     real = DependencyQueue._read_upstream
 
-    async def look(self, name):
+    async def read_upstream(self, name):
         await self._loop.sleep(seconds)
         await real(self, name)
 
-    patch.setattr(DependencyQueue, "_read_upstream", look)
+    patch.setattr(DependencyQueue, "_read_upstream", read_upstream)
 
 
-def nobody_asks(patch, begin, end):
-    """Users ask nothing meanwhile: a question about a job would show the controller what that needs."""
+def suppress_job_queries(patch, begin, end):
+    """Users query no job between `begin` and `end`, which would make the controller read its upstream."""
     real = EmulatedUser._ask
 
     async def ask(self, method, *args):
@@ -179,8 +179,8 @@
     patch.setattr(EmulatedUser, "_ask", ask)
 
 
-LET_GO_BEFORE = """
-# The heir started after the end of the first job, so it has to read of it, and finds the second waiting.
+RELEASED_BEFORE_FAILOVER = """
+# The successor started after job 1 ended, so it must read that job's record; until then job 2 waits for it.
 controllers 2
 cpus_max 8
 teams 2
@@ -194,23 +194,27 @@
 
 
 @pytest.mark.parametrize(
-    ("mutation", "trouble"),
+    ("mutate", "fault"),
     [
-        (counts_nothing_that_waits, ""),
-        (asks_for_nothing_cancelled, "at 235.4 deaf 1 16\nat 235.5 cancel 2\n"),
+        (ignore_waiting_jobs, ""),
+        (do_not_query_cancelled_waiting_jobs, "at 235.4 deaf 1 16\nat 235.5 cancel 2\n"),
     ],
 )
-def test_what_waits_at_an_heir_but_may_have_been_let_go_counts(monkeypatch, mutation, trouble):
-    text = LET_GO_BEFORE + "".join(f"at {at / 4} submit legs=4 runS=12\n" for at in range(932, 960)) + trouble
-    reads_upstream_late(monkeypatch, 8)
-    nobody_asks(monkeypatch, 230, 245)
+def test_waiting_jobs_that_the_previous_leader_may_have_released_count(monkeypatch, mutate, fault):
+    text = (
+        RELEASED_BEFORE_FAILOVER
+        + "".join(f"at {at / 4} submit legs=4 runS=12\n" for at in range(932, 960))
+        + fault
+    )
+    delay_upstream_reads(monkeypatch, 8)
+    suppress_job_queries(monkeypatch, 230, 245)
     for seed in range(1, 21):
         with pytest.MonkeyPatch.context() as patch:
-            mutation(patch)
+            mutate(patch)
             noticed = World(f"{text}until 260\nseed {seed}\n").run().violations
-        if any("quota" in broken for broken in noticed):
+        if any("quota" in violation for violation in noticed):
             world = World(f"{text}until 900\nseed {seed}\nexpect rules\n").run()
             assert world.check() == []
             assert all(user.last_state in ("done", "cancelled") for user in world.users.values())
             return
-    raise AssertionError(f"not noticed: {mutation.__doc__}")
+    raise AssertionError(f"not noticed: {mutate.__doc__}")
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,7 @@
-"""The map of shares: what a change moves, how even it gets, and that moves come to an end."""
+"""The shard map: what a term change moves, how even it becomes, and that rebalancing ends.
+
+Also how shard leaders reconcile moved shards; "safety" numbers are those of the rules in docs/design.md.
+"""
 
 import json
 import random
@@ -23,44 +26,44 @@
 from roadhead.telemetry import Counters
 from roadhead.wire import frames, messages
 
-NAMES = [f"n-{number:06d}" for number in range(400)]
+MACHINE_NAMES = [f"n-{number:06d}" for number in range(400)]
 LABELS = ["ctl-0", "ctl-1", "ctl-2", "ctl-3", "ctl-4"]
 
 
-def settled(term, machines=None, most=1 / 8):
-    """The term once every home has given away what it may; and the shares moved."""
+def balanced(term, machines=None, max_fraction=1 / 8):
+    """Returns the term once no shard leader has a move left to make, and the number of shards moved."""
     moved = 0
     for _ in range(1000):
-        given_away = False
+        has_moved = False
         for label in sorted(term.leaders):
             takers = [other for other in sorted(term.leaders) if other != label]
-            moves = plan_moves(term.shard_map, label, takers, machines or {}, most)
+            moves = plan_moves(term.shard_map, label, takers, machines or {}, max_fraction)
             if moves:
-                term, given_away, moved = term.move(moves, label), True, moved + len(moves)
-        if not given_away:
+                term, has_moved, moved = term.move(moves, label), True, moved + len(moves)
+        if not has_moved:
             return term, moved
-    raise AssertionError("shares go to and fro")
+    raise AssertionError("rebalancing does not end: shards keep moving")
 
 
-def joined(labels):
+def term_with_members(labels):
     term = Term()
     for label in labels:
         term = term.join(label, "nonce")
     return term
 
 
-def test_a_record_reads_back_as_it_was():
-    term, _ = settled(joined(LABELS))
+def test_a_term_record_decodes_to_an_equal_term():
+    term, _ = balanced(term_with_members(LABELS))
     again = Term.from_record(term.to_record())
-    assert all(again.leader_and_token(name) == term.leader_and_token(name) for name in NAMES)
+    assert all(again.leader_and_token(name) == term.leader_and_token(name) for name in MACHINE_NAMES)
     assert again.to_record() == term.to_record()
 
 
-def test_a_drop_touches_only_what_was_the_dropped_ones():
-    term, _ = settled(joined(LABELS))
+def test_a_drop_changes_only_the_shards_of_the_dropped_member():
+    term, _ = balanced(term_with_members(LABELS))
     after = term.drop({"ctl-2"})
-    assert {term.leader_of(name) for name in NAMES} == set(LABELS)
-    for name in NAMES:
+    assert {term.leader_of(name) for name in MACHINE_NAMES} == set(LABELS)
+    for name in MACHINE_NAMES:
         if term.leader_of(name) == "ctl-2":
             assert after.leader_of(name) != "ctl-2" and after.leader_and_token(name)[1] == term.next
         else:
@@ -70,33 +73,33 @@
 
 
 def test_a_restart_renews_its_own_tokens_and_a_new_label_moves_nothing():
-    term, _ = settled(joined(LABELS[:3]))
+    term, _ = balanced(term_with_members(LABELS[:3]))
     back = term.join("ctl-1", "other")
-    for name in NAMES:
-        home, token = term.leader_and_token(name)
-        assert back.leader_and_token(name) == (home, term.next if home == "ctl-1" else token)
+    for name in MACHINE_NAMES:
+        leader, token = term.leader_and_token(name)
+        assert back.leader_and_token(name) == (leader, term.next if leader == "ctl-1" else token)
     more = term.join("ctl-4", "nonce")
-    assert all(more.leader_and_token(name) == term.leader_and_token(name) for name in NAMES)
+    assert all(more.leader_and_token(name) == term.leader_and_token(name) for name in MACHINE_NAMES)
 
 
-def test_a_join_moves_no_more_than_the_shares_that_must():
-    term, _ = settled(joined(LABELS[:4]))
-    after, moved = settled(term.join("ctl-4", "nonce"))
+def test_a_join_moves_the_fewest_shards_possible():
+    term, _ = balanced(term_with_members(LABELS[:4]))
+    after, moved = balanced(term.join("ctl-4", "nonce"))
     assert moved == SHARD_COUNT // 5 == after.shard_map.counts(after.leaders)["ctl-4"]
 
 
-def test_no_step_moves_more_machines_than_it_may():
-    term = joined(LABELS[:2])
+def test_no_step_moves_more_than_an_eighth_of_the_machines():
+    term = term_with_members(LABELS[:2])
     machines = dict.fromkeys(range(SHARD_COUNT), 10)
     moves = plan_moves(term.shard_map, "ctl-0", ["ctl-1"], machines)
     assert 0 < sum(machines[shard] for shard in moves) <= SHARD_COUNT * 10 / 8
 
 
-def test_a_relieved_home_gets_nothing_until_it_is_restored():
-    term, _ = settled(joined(LABELS[:3]))
-    relieved, _ = settled(term.relieve("ctl-0"))
+def test_a_relieved_leader_gets_no_shards_until_it_is_restored():
+    term, _ = balanced(term_with_members(LABELS[:3]))
+    relieved, _ = balanced(term.relieve("ctl-0"))
     assert "ctl-0" not in relieved.shard_map.leaders
-    again, moved = settled(relieved.restore("ctl-0"))
+    again, moved = balanced(relieved.restore("ctl-0"))
     assert moved == again.shard_map.counts(again.leaders)["ctl-0"] >= SHARD_COUNT // 3
 
 
@@ -112,7 +115,7 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(changes, st.randoms(use_true_random=False))
-def test_whatever_changes_each_share_has_a_home_and_tokens_only_grow(drawn, rng):
+def test_each_shard_has_a_leader_and_tokens_only_grow_under_any_changes(drawn, rng):
     machines = {shard: rng.randrange(0, 30) for shard in range(SHARD_COUNT)}
     term = Term().join("ctl-0", "nonce")
     for how, number, shard in drawn:
@@ -133,16 +136,16 @@
         assert set(term.shard_map.leaders) <= term.leaders
         for place, (old, new) in enumerate(zip(before.shard_map.tokens, term.shard_map.tokens, strict=True)):
             assert new == old or new >= before.next
-            if new == old:  # who keeps its token keeps its home, and the same incarnation of it
-                home = term.shard_map.leaders[place]
-                assert home == before.shard_map.leaders[place]
-                assert term.incarnation(home) == before.incarnation(home)
-    even, _ = settled(term, machines, 1.0)
+            if new == old:  # a shard that keeps its token keeps its leader in the same incarnation
+                leader = term.shard_map.leaders[place]
+                assert leader == before.shard_map.leaders[place]
+                assert term.incarnation(leader) == before.incarnation(leader)
+    even, _ = balanced(term, machines, 1.0)
     counts = even.shard_map.counts(even.leaders)
     assert max(counts.values()) - min(counts.values()) <= 1
 
 
-def test_machines_spread_over_shares():
+def test_machines_spread_over_shards():
     shards = ShardMap.even(["a"], 1)
     counts = [0] * SHARD_COUNT
     for number in range(6400):
@@ -150,16 +153,18 @@
     assert min(counts) > 60 and max(counts) < 145
 
 
-def test_a_home_that_is_sure_tells_an_heir_of_launches_that_no_report_has_shown():
-    """Safety 3. Its machines keep their tokens through the drop of another, so it answers at once: what
-    it was told to launch just before, and the machine has yet to take, the heir would start elsewhere."""
+def test_a_reconciled_leader_tells_a_successor_of_launches_that_no_report_has_shown():
+    """Safety 3: a leader whose machines keep their tokens when another member is dropped answers at once.
+
+    The answer must include tasks just launched that their machine hasn't received yet, or the successor would
+    start them elsewhere."""
     sent = []
-    home = home_of(1, 0)
-    home.apply_machine_list([], 100.0)
-    home.task_commands._send = home._notifier._send = lambda label, frame: sent.append((label, frame))
-    machine = home.machines["n-000000"]
+    leader = home_of(1, 0)
+    leader.apply_machine_list([], 100.0)
+    leader.task_commands._send = leader._notifier._send = lambda label, frame: sent.append((label, frame))
+    machine = leader.machines["n-000000"]
     machine.grant_holder, machine.grant_serial = "there", 3
-    home.task_commands.on_start(
+    leader.task_commands.on_start(
         "there",
         1,
         frames.StartTasks(
@@ -167,72 +172,73 @@
         ),
     )
     assert [task.status for task in machine.tasks.values()] == [LAUNCHING]
-    home.task_commands.on_sync("heir", 2, frames.ReconcileRequest(1, 1, ["req-9"], []))
+    leader.task_commands.on_sync("heir", 2, frames.ReconcileRequest(1, 1, ["req-9"], []))
     told = [type(frame) for label, frame in sent if label == "heir"]
     rows = [row for _label, frame in sent if isinstance(frame, frames.TaskStates) for row in frame.rows]
     assert told == [frames.TaskStates, frames.ReconcileDone] and rows == [("req-9", 0, 77, LAUNCHING, "")]
 
 
-def test_of_two_heirs_that_name_a_job_each_is_told_what_runs_before_that_all_is_known():
-    """Safety 3. The heirs of two terms wait for writes of the record, of which one is refused late: the other
-    must not start what a machine showed while this one had named the job last."""
+def test_two_successors_that_request_a_job_are_each_sent_its_tasks_before_the_end_of_the_answer():
+    """Safety 3: successors of two terms wait for their writes of a job's record; one is refused late.
+
+    The other must not start again what a machine reported while the first had requested the job last."""
     sent = []
-    home = home_of(0, 0)
-    home.task_commands._send = home._notifier._send = lambda label, frame: sent.append((label, frame))
-    home.reconciliation.fence_shards([0], False)
-    home.apply_machine_list([listed("n-000000", "running")], 6.5)  # up before the share came here
-    home.task_commands.on_sync("heir", 2, frames.ReconcileRequest(1, 1, ["req-0"], []))
-    home.task_commands.on_sync("other", 3, frames.ReconcileRequest(1, 1, ["req-0"], []))
+    leader = home_of(0, 0)
+    leader.task_commands._send = leader._notifier._send = lambda label, frame: sent.append((label, frame))
+    leader.reconciliation.fence_shards([0], False)
+    leader.apply_machine_list([listed("n-000000", "running")], 6.5)  # running before the shard moved here
+    leader.task_commands.on_sync("heir", 2, frames.ReconcileRequest(1, 1, ["req-0"], []))
+    leader.task_commands.on_sync("other", 3, frames.ReconcileRequest(1, 1, ["req-0"], []))
     assert sent == []
-    home.report_processor.answer(report(0, 2))
+    leader.report_processor.answer(report(0, 2))
     for label in ("heir", "other"):
         told = [frame for to, frame in sent if to == label]
         assert [type(frame) for frame in told] == [frames.TaskStates, frames.ReconcileDone]
         assert [row[:4] for row in told[0].rows] == [("req-0", 0, 1, "running"), ("req-0", 1, 1, "running")]
 
 
-def test_a_claim_of_an_owner_that_ended_does_not_take_a_task_from_its_heir():
-    """An owner claims a task on a machine that is not heard yet, and ends; its heir names the job, and does
-    not know of the task. What becomes of that is the heir's to be told, or the job is never done."""
+def test_a_claim_of_an_owner_that_ended_does_not_take_a_task_from_its_successor():
+    """An owner claims a task on a machine that has not reported yet, and ends. Its successor requests the job
+    without knowing of the task, and must be told of it, or the job never ends."""
     sent = []
-    home = home_of(0, 0)
-    home.task_commands._send = home._notifier._send = lambda label, frame: sent.append((label, frame))
-    home.reconciliation.fence_shards([0], False)
-    home.apply_machine_list([listed("n-000000", "running")], 6.5)
+    leader = home_of(0, 0)
+    leader.task_commands._send = leader._notifier._send = lambda label, frame: sent.append((label, frame))
+    leader.reconciliation.fence_shards([0], False)
+    leader.apply_machine_list([listed("n-000000", "running")], 6.5)
     claims = [("n-000000", "req-0", 0, 1)]
-    home.task_commands.on_sync("ended", 1, frames.ReconcileRequest(1, 1, ["req-0"], claims))
-    home.task_commands.on_sync("heir", 2, frames.ReconcileRequest(1, 1, ["req-0"], []))
-    home.report_processor.answer(report(0, 1))
-    assert [task.owner for task in home.machines["n-000000"].tasks.values()] == [("heir", 2)]
+    leader.task_commands.on_sync("ended", 1, frames.ReconcileRequest(1, 1, ["req-0"], claims))
+    leader.task_commands.on_sync("heir", 2, frames.ReconcileRequest(1, 1, ["req-0"], []))
+    leader.report_processor.answer(report(0, 1))
+    assert [task.owner for task in leader.machines["n-000000"].tasks.values()] == [("heir", 2)]
     assert frames.TaskStates in [type(frame) for label, frame in sent if label == "heir"]
 
 
-def test_a_share_under_a_new_token_is_sure_once_its_own_machines_are_heard():
-    home = home_of(40, 0)
-    home.apply_machine_list([], 100.0)
-    assert home.reconciliation.is_reconciled()
-    other = next(iter(home.machines.values()))
+def test_a_shard_under_a_new_token_is_reconciled_once_its_machines_have_reported():
+    leader = home_of(40, 0)
+    leader.apply_machine_list([], 100.0)
+    assert leader.reconciliation.is_reconciled()
+    other = next(iter(leader.machines.values()))
     other.shard, other.token = 1, 9
-    home.reconciliation.fence_shards([1], False)
-    home.reconciliation.apply_list(200.0, set())
-    assert not home.reconciliation.is_reconciled()
+    leader.reconciliation.fence_shards([1], False)
+    leader.reconciliation.apply_list(200.0, set())
+    assert not leader.reconciliation.is_reconciled()
     answer = report(0, 0, sequence=2)
     answer.token = 9
-    assert home.report_processor.observe(other, answer) and home.reconciliation.is_reconciled()
+    assert leader.report_processor.observe(other, answer) and leader.reconciliation.is_reconciled()
 
 
-def test_the_order_of_a_roll_does_not_matter_for_evenness():
+def test_repeated_drops_and_joins_keep_the_shard_map_even():
     rng = random.Random(5)
-    term, _ = settled(joined(LABELS[:3]))
+    term, _ = balanced(term_with_members(LABELS[:3]))
     for _ in range(30):
         label = rng.choice(LABELS[:3])
-        term, _ = settled(term.drop({label}).join(label, str(rng.random())))
+        term, _ = balanced(term.drop({label}).join(label, str(rng.random())))
         counts = term.shard_map.counts(term.leaders)
         assert max(counts.values()) - min(counts.values()) <= 1
 
 
-def test_only_who_was_a_home_until_it_joined_takes_the_short_fence():
-    """Safety 3: of one that was dropped meanwhile, others have been the homes of its machines."""
+def test_only_a_controller_that_led_until_it_rejoined_uses_the_short_fence():
+    """Safety 3: if it was dropped in the meantime, others have led the shards of its machines."""
     world = World("at 20 crash 0\nat 40 crash 1 30\nuntil 90")
     short = {}
     for at, number in ((30.0, 0), (80.0, 1)):
@@ -243,35 +249,35 @@
     assert short == {0: True, 1: False}
 
 
-def test_an_heir_names_its_jobs_once_more_when_their_records_name_it():
-    """Between the two another heir, of a later term, may have asked the homes and be told in its place."""
+def test_a_successor_requests_its_jobs_again_once_their_records_name_it():
+    """In between, a successor of a later term may have requested them, and would get the answers instead."""
     node = HostedNode(1, 0)
     job_store, sent = node.job_store, []
     job_store._send = job_store.reconciliation._send = lambda _label, frame: sent.append(frame)
 
-    class Marked:
-        encode_urgency = []
+    class FakeRecorder:
+        scheduled = []
 
         def schedule_write(self, job, _urgency):
-            self.encode_urgency.append(job)
+            self.scheduled.append(job)
 
-    job_store.recorder = Marked()
+    job_store.recorder = FakeRecorder()
     job = Job(node.spec(3), ("gone", 1), 0.0)
     job_store.take_over([(job.record(1 << 15)[0], 5)])
-    heir = job_store.jobs[job.id]
-    assert heir.taking_over and [frame.jobs for frame in sent] == [[job.id]] * 2  # a home each
-    job_store._on_written(heir, heir.done, "open")
+    successor = job_store.jobs[job.id]
+    assert successor.taking_over and [frame.jobs for frame in sent] == [[job.id]] * 2  # one per shard leader
+    job_store._on_written(successor, successor.done, "open")
     node.loop.run_until(0.1)
-    assert not heir.taking_over and [frame.jobs for frame in sent] == [[job.id]] * 4
+    assert not successor.taking_over and [frame.jobs for frame in sent] == [[job.id]] * 4
     job_store.reassert_ownership(job.id)
     assert len(sent) == 6
 
 
-def test_the_term_of_the_members_that_settings_allow_fits_the_least_limit():
-    """Tokens of 999,999 changes; nine members, and three."""
+def test_the_largest_term_record_fits_the_smallest_allowed_value_limit():
+    """With three and with nine members, and tokens of six digits (up to 999,999 changes)."""
     for count in (3, 9):
         labels = [f"drover-{number}" for number in range(count)]
-        term, _ = settled(joined(labels))
+        term, _ = balanced(term_with_members(labels))
         term.next = 999_900
         for _ in range(3):
             for shard in range(SHARD_COUNT):
@@ -283,8 +289,8 @@
         assert len(state_faults(limits, labels)) == 1
 
 
-def asked_directly(home, machine, client, counters=None, may_command=lambda: True):
-    """The routine, run to its end, by which a machine is sent its commands over `client`."""
+def run_direct_command(leader, machine, client, counters=None, may_command=lambda: True):
+    """Sends a machine its commands over `client`, and returns the routine after it ended."""
     loop = Sim(1)
     workers = WorkerClient(
         loop,
@@ -296,41 +302,43 @@
         sockets=SocketBudget(200, lambda _name: None),
         decisions=DecisionLog(lambda: 0.0, counters or Counters()),
     )
-    workers.shard_leader = home
+    workers.shard_leader = leader
     workers._clients[machine.id] = client
     routine = loop.spawn(workers._ask(machine, False), "ask")
     loop.run_until(1.0)
     return routine
 
 
-def test_a_machine_given_away_while_it_is_asked_is_not_heard_any_more():
-    """Its answer names another session, and comes after its share has another home: what is known of it is
-    gone, and the home may not command it again. Seen on an own day as a routine that failed."""
-    home = home_of(1, 0)
-    machine = home.machines["n-000000"]
+def test_the_answer_of_a_machine_handed_over_during_a_command_is_ignored():
+    """The answer names another session and arrives after the machine's shard has moved: the machine is no
+    longer registered and must not be commanded again. A simulated day once made the
+    routine fail here."""
+    leader = home_of(1, 0)
+    machine = leader.machines["n-000000"]
     machine.confirmed_token = 0
     asked = []
 
-    class Asked:
+    class FakeClient:
         address = machine.address
 
         async def request(self, *_request):
             asked.append(machine.id)
-            home.reconciliation.drop_shards([machine.shard])
-            home.registry.remove(machine)
+            leader.reconciliation.drop_shards([machine.shard])
+            leader.registry.remove(machine)
             answer = report(0, 0, sequence=5)
             answer.session = 3
             return 409, messages.write(answer), None
 
-    routine = asked_directly(home, machine, Asked())
+    routine = run_direct_command(leader, machine, FakeClient())
     assert routine.done.done and routine.done.result() is None and asked == [machine.id]
 
 
-def test_authority_lost_while_a_command_is_under_way_starts_nothing_in_a_later_session():
-    """Safety 2. The second request follows word of a later session, with which all of the one before is
-    freed, launches too: it carries none, though it does not ask for authority again. The loss is counted."""
-    home, counters = home_of(1, 0), Counters()
-    machine = home.machines["n-000000"]
+def test_authority_lost_during_a_command_starts_nothing_in_a_later_session():
+    """Safety 2: an answer from a later session ends every task and launch of the previous session.
+
+    A second request would carry no launch, though it doesn't check authority again. The loss is counted."""
+    leader, counters = home_of(1, 0), Counters()
+    machine = leader.machines["n-000000"]
     machine.add_task(Task("req-0", 0, 1, LAUNCHING, ("here", 1)))
     sent, authority = [], [True]
 
@@ -344,27 +352,28 @@
             answer.session = 2
             return 409, messages.write(answer), None
 
-    routine = asked_directly(home, machine, Answering(), counters, lambda: authority[0])
+    routine = run_direct_command(leader, machine, Answering(), counters, lambda: authority[0])
     assert routine.done.done and routine.done.result() is None
     assert [[order["verb"] for order in request["orders"]] for request in sent] == [["launch"]]
     assert not machine.tasks and machine.session == 2
     assert counters.counts["authority_lost"] == 1
 
 
-def test_what_is_offered_to_others_is_not_taken_on_until_the_outcome_is_known():
-    """Safety 3: the new home does not wait for machines that come up after the move, carried out or not as
-    far as the giver can tell."""
+def test_no_machine_of_a_moving_shard_is_registered_until_the_outcome_is_known():
+    """Safety 3: the new leader doesn't wait for machines that boot after the move.
+
+    The old leader must therefore not register any while it can't tell whether the move was committed."""
     world = World("until 20").run()
     member = world.nodes[0].member
     mine = sorted(member.term.shards_of(member.label))
     other = next(label for label in member.term.leaders if label != member.label)
 
-    class Silent:
+    class NoAnswer:
         async def multi(self, *_transaction):
             raise UnknownOutcomeError("no answer")
 
     assert all(map(member.may_take_on, mine))
-    real, member._state = member._state, Silent()
+    real, member._state = member._state, NoAnswer()
     world.sim.spawn(member.move({mine[0]: other}), "move")
     world.sim.run_until(20.1)
     assert [shard for shard in mine if not member.may_take_on(shard)] == mine[:1]
@@ -374,68 +383,69 @@
     assert mine[0] not in member.term.shards_of(member.label) and all(map(member.may_take_on, mine[1:]))
 
 
-def test_a_machine_that_came_up_after_a_lapse_is_not_heard():
-    """Safety 3; one that a list showed to be up before is: an heir waits for it."""
-    home = home_of(0, 0)
-    home.apply_machine_list([listed("n-000001", "starting"), listed("n-000002", "running")], 100.0)
-    home._member.may_take_on = lambda _share: False
-    home.apply_machine_list([listed("n-000001", "running")], 110.0)
-    assert home.report_processor.answer(report(1, 0)) is None
-    assert not home.report_processor.observe(home.machines["n-000001"], report(1, 0))
-    assert home.report_processor.answer(report(2, 0)).token == home.machines["n-000002"].token
-    home._member.may_take_on = lambda _share: True
-    assert home.report_processor.answer(report(1, 0)).token == home.machines["n-000001"].token
+def test_reports_of_a_machine_that_booted_after_lease_expiry_are_ignored():
+    """Safety 3: those of one that a list showed running before count, since a successor waits for it."""
+    leader = home_of(0, 0)
+    leader.apply_machine_list([listed("n-000001", "starting"), listed("n-000002", "running")], 100.0)
+    leader._member.may_take_on = lambda _shard: False
+    leader.apply_machine_list([listed("n-000001", "running")], 110.0)
+    assert leader.report_processor.answer(report(1, 0)) is None
+    assert not leader.report_processor.observe(leader.machines["n-000001"], report(1, 0))
+    assert leader.report_processor.answer(report(2, 0)).token == leader.machines["n-000002"].token
+    leader._member.may_take_on = lambda _shard: True
+    assert leader.report_processor.answer(report(1, 0)).token == leader.machines["n-000001"].token
+
 
+def test_booting_machines_of_a_relieved_leader_are_waited_for():
+    """Safety 3: a relieved leader that doesn't know of it still serves, and may be the first to hear them.
 
-def test_machines_of_a_relieved_home_are_waited_for_although_they_boot():
-    """Safety 3: that one serves on, may not know, and may hear them first; so it is until a list asked for
-    late enough after it knew."""
+    They are waited for until a machine list that was requested late enough after it learned of the relief."""
     term = Term().join("ctl-0", "a").join("ctl-1", "b")
     relieved = term.relieve("ctl-1")
     for unaware in (False, True):
-        home = home_of(0, 0)
-        home.reconciliation.on_relieved_changed(term, relieved if unaware else term)
-        home.reconciliation.fence_shards([0], False)
-        home.apply_machine_list([listed("n-000001", "starting")], 100.0)
-        assert home.reconciliation.is_reconciled() == (not unaware)
-    assert home.report_processor.answer(report(1, 0)) and not home.reconciliation.is_reconciled()
-    home.reconciliation.on_peer_term("ctl-1", term.number)  # as it was before
-    assert home.reconciliation.unaware_controllers() == ["ctl-1"]
-    home.reconciliation.on_peer_term("ctl-1", relieved.number)
-    assert home.reconciliation.unaware_controllers() == [] and not home.reconciliation.is_reconciled()
-    home.apply_machine_list([listed("n-000001", "running")], 100.0)
-    assert home.reconciliation.is_reconciled()
-
-
-def test_who_may_not_know_that_it_is_relieved():
-    """Safety 3: by each way in which another learns of the relief, and of its end."""
+        leader = home_of(0, 0)
+        leader.reconciliation.on_relieved_changed(term, relieved if unaware else term)
+        leader.reconciliation.fence_shards([0], False)
+        leader.apply_machine_list([listed("n-000001", "starting")], 100.0)
+        assert leader.reconciliation.is_reconciled() == (not unaware)
+    assert leader.report_processor.answer(report(1, 0)) and not leader.reconciliation.is_reconciled()
+    leader.reconciliation.on_peer_term("ctl-1", term.number)  # it still has the earlier term
+    assert leader.reconciliation.unaware_controllers() == ["ctl-1"]
+    leader.reconciliation.on_peer_term("ctl-1", relieved.number)
+    assert leader.reconciliation.unaware_controllers() == [] and not leader.reconciliation.is_reconciled()
+    leader.apply_machine_list([listed("n-000001", "running")], 100.0)
+    assert leader.reconciliation.is_reconciled()
+
+
+def test_which_controllers_may_not_know_that_they_are_relieved():
+    """Safety 3: for each way in which another controller learns of the relief and of its end."""
     term = Term().join("ctl-0", "a").join("ctl-1", "b").join("ctl-2", "c")
     relieved = term.relieve("ctl-1")
     relief = RelievedControllers("ctl-0")
     relief.on_term(term, relieved)
     assert relief.labels() == ["ctl-1"]
-    relief.on_term(relieved, relieved.join("ctl-1", "d"))  # its process was replaced
+    relief.on_term(relieved, relieved.join("ctl-1", "d"))  # a new process replaced it
     assert relief.labels() == []
-    relief.begin(relieved)  # a restart: since when it is relieved is not known
+    relief.begin(relieved)  # after a restart it is unknown since when ctl-1 is relieved
     assert relief.labels() == ["ctl-1"]
     relief.on_term(relieved, relieved.drop({"ctl-1"}))
     assert relief.labels() == []
-    relief.on_term(relieved, relieved.join("ctl-2", "e").drop({"ctl-2"}))  # two terms were not seen
+    relief.on_term(relieved, relieved.join("ctl-2", "e").drop({"ctl-2"}))  # two terms were missed
     assert relief.labels() == ["ctl-1"]
     own = RelievedControllers("ctl-1")
     own.on_term(term, relieved)
     assert own.labels() == []
 
 
-def test_a_short_fence_that_is_not_over_grows_long_once_a_member_is_dropped():
-    """Safety 3: that one may have given a share away without knowing, and live on."""
-    home = home_of(0, 0)
-    short = home.reconciliation.fence_ends_at(0)
-    home.reconciliation.extend_fences()
-    long = home.reconciliation.fence_ends_at(0)
+def test_a_short_fence_that_has_not_ended_is_extended_when_a_member_is_dropped():
+    """Safety 3: that member may have handed over a shard without knowing the outcome, and may still serve."""
+    leader = home_of(0, 0)
+    short = leader.reconciliation.fence_ends_at(0)
+    leader.reconciliation.extend_fences()
+    long = leader.reconciliation.fence_ends_at(0)
     assert long > short + 15
-    home.reconciliation.extend_fences()
-    assert home.reconciliation.fence_ends_at(0) == long
+    leader.reconciliation.extend_fences()
+    assert leader.reconciliation.fence_ends_at(0) == long
 
 
 def listed(name, status):
