--- a/tests/test_cancel_and_move.py
+++ b/tests/test_cancel_and_move.py
@@ -1,4 +1,4 @@
-"""Work changes hands: cancellations in those seconds, and who may hear a machine first."""
+"""Cancellations while work moves between controllers, and machines first heard by a relieved controller."""
 
 import itertools
 
@@ -13,35 +13,35 @@
 from roadhead.membership.member import TERM
 from roadhead.node import Node
 
-SAMPLE = 24  # of the cases of handovers.py
+SAMPLED_CASES = 24  # number of the cases of handovers.py that are played here
 
 
 @pytest.mark.parametrize("step", handovers.STEPS)
-def test_each_change_of_hands_is_brought_about(step):
-    """A change that did not come about would have no case, and nobody would notice."""
+def test_each_step_commits_a_term_change(step):
+    """A step that commits none would silently contribute no case."""
     assert sum(commit.key == TERM for commit in handovers.commits(step)) >= 1
 
 
-@pytest.mark.parametrize("number", range(SAMPLE))
-def test_cancelled_while_work_changes_hands_in_a_sample(number):
-    """Safety 4; `tests/handovers.py` plays all."""
+@pytest.mark.parametrize("number", range(SAMPLED_CASES))
+def test_cancelling_while_work_moves_in_a_sample(number):
+    """Safety 4 (docs/design.md): cancelled tasks end in time; `tests/handovers.py` plays all cases."""
     outcome = handovers.played(next(itertools.islice(handovers.cases(), 197 * number + 5, None)))
     assert (outcome.faults, outcome.unended) == ([], 0), outcome.case
 
 
-def test_what_is_left_of_cancelled_jobs_is_seen_in_a_case():
-    """Machines that are deaf keep tasks of cancelled jobs for a while: else the cases would check nothing."""
+def test_tasks_of_cancelled_jobs_outlive_the_cancellation_in_a_case():
+    """Machines that receive nothing keep such tasks for a while; else the cases would check nothing."""
     case = next(case for case in handovers.cases() if case.fault == "deaf" and case.offset == 1.0)
     assert 1 < handovers.played(case).longest_gone < handovers.CANCEL_S
 
 
-def cancel_news_is_not_told(patch):
-    """4: a cancellation is told to no link; whoever took work over has only the state service's watch."""
+def do_not_send_cancellations_to_peers(patch):
+    """4: cancellations are not sent to peers; a successor learns of them only from its watch."""
     patch.setattr(Node, "_tell_cancelled", lambda self, label, jobs: None)
 
 
-def marks_are_dropped_at_once(patch):
-    """4: the owner drops a cancellation's mark as it hears of it, though tasks may be somewhere."""
+def delete_cancellation_marks_at_once(patch):
+    """4: the owner deletes a cancellation's mark as soon as it learns of it, though tasks may still run."""
     real = JobStore.cancelled
 
     def cancelled(self, job_id, record=None):
@@ -54,16 +54,16 @@
 @pytest.mark.parametrize(
     ("mutate", "scenario"),
     [
-        (cancel_news_is_not_told, "move-news"),
-        (marks_are_dropped_at_once, "move-marks"),
+        (do_not_send_cancellations_to_peers, "move-news"),
+        (delete_cancellation_marks_at_once, "move-marks"),
         (treat_handed_over_machines_as_heard, "move-back-all-end"),
     ],
 )
-def test_a_missing_guard_is_noticed(mutate, scenario):
+def test_a_removed_guard_is_detected(mutate, scenario):
     mutation.assert_noticed(mutate, scenario)
 
 
-RELIEF = """
+RELIEF_SCENARIO = """
 until 70
 capacity 7
 boot_s 1
@@ -74,12 +74,15 @@
 
 
 class ReliefWorld(World):
-    """Controller 0 is relieved since workers can't reach it. At that moment they reach it again, and it loses
-    the state service and the others, so that it does not know; jobs come, and then machines. `then`: what
-    happens so many seconds after."""
+    """A world in which controller 0 is relieved because workers can't reach it, and doesn't learn of it.
 
-    def __init__(self, seed, then=()):
-        super().__init__(f"seed {seed}{RELIEF}")
+    When the relief is committed, workers reach it again, and it is cut off from the state service and its
+    peers. Jobs are submitted, and then machines boot. `faults` lists further faults as (seconds after the
+    relief, scenario line).
+    """
+
+    def __init__(self, seed, faults=()):
+        super().__init__(f"seed {seed}{RELIEF_SCENARIO}")
         self.relieved_at = None
         commit = self.state.multi
 
@@ -87,42 +90,42 @@
             status, answer = commit(body)
             terms = [write["data"] for write in body["writes"] if write.get("put") == TERM]
             if status == 200 and self.relieved_at is None and any(term["relieved"] for term in terms):
-                self._relieved(then)
+                self._relieved(faults)
             return status, answer
 
         self.state.multi = multi
 
-    def _relieved(self, then):
+    def _relieved(self, faults):
         self.relieved_at = self.sim.time
         for host in [worker.host for worker in self.cloud.rented.values()]:
             self.network.heal("10.0.0.1", host)
         self.do(["cut", "0", "state", "40"])
         self.do(["cut", "0", "peers", "40"])
         self.cloud.capacity = 60
-        for after, words in then:
-            self.sim.call_later(after, self.do, words.split())
+        for after, line in faults:
+            self.sim.call_later(after, self.do, line.split())
         for after in (2.5, 3.2, 3.9, 4.4):
             self.sim.call_later(after, self.cloud.rent, "box", "north", True, 3)
 
 
-HEIRS_RESTART = ((1.5, "crash 1 0.1"), (1.5, "crash 2 0.1"))
+SUCCESSORS_RESTART = ((1.5, "crash 1 0.1"), (1.5, "crash 2 0.1"))
 
 
 @pytest.mark.parametrize(
-    ("seed", "then"),
-    [(7, ()), (12, ()), (2, HEIRS_RESTART), (12, HEIRS_RESTART)],
+    ("seed", "faults"),
+    [(7, ()), (12, ()), (2, SUCCESSORS_RESTART), (12, SUCCESSORS_RESTART)],
     ids=["dropped-7", "dropped-12", "heirs-restart-2", "heirs-restart-12"],
 )
-def test_machines_that_a_relieved_controller_hears_first_are_waited_for(seed, then):
-    """Safety 3: until it knows, or is dropped, its heirs do not say that they know what runs."""
-    world = ReliefWorld(seed, then).run()
+def test_machines_that_a_relieved_controller_hears_first_are_waited_for(seed, faults):
+    """Safety 3: until it learns of the relief or is dropped, its successors are not reconciled."""
+    world = ReliefWorld(seed, faults).run()
     assert world.relieved_at is not None
     assert world.check() == []
 
 
-@pytest.mark.parametrize("then", [(), HEIRS_RESTART], ids=["dropped", "heirs-restart"])
-def test_taking_relieved_controllers_for_aware_is_noticed(then, monkeypatch):
-    """3: a relieved controller is taken for one that knows."""
+@pytest.mark.parametrize("faults", [(), SUCCESSORS_RESTART], ids=["dropped", "heirs-restart"])
+def test_treating_relieved_controllers_as_aware_is_detected(faults, monkeypatch):
+    """3: every relieved controller counts as one that knows that it is relieved."""
     monkeypatch.setattr(RelievedControllers, "labels", lambda self: [])
     monkeypatch.setattr(RelievedControllers, "__bool__", lambda self: False)
-    assert any(ReliefWorld(seed, then).run().violations for seed in range(1, 13))
+    assert any(ReliefWorld(seed, faults).run().violations for seed in range(1, 13))
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -1,4 +1,4 @@
-"""An owner's claims on tasks stay under way until the home of their machine has answered."""
+"""An owner resends its claims on tasks until the shard leader of their machine has answered."""
 
 from types import SimpleNamespace
 
@@ -14,7 +14,7 @@
 
 
 class BoundJob:
-    """A job of which one task is on the machine, as far as its owner knows; not inherited."""
+    """A job, not inherited, that has one task bound to MACHINE according to its owner."""
 
     id = "req-000001"
 
@@ -24,7 +24,7 @@
 
 
 class Owner:
-    """The controller ctl-0 with that job, and what it sends."""
+    """The controller ctl-0, which owns a BoundJob, and the frames it sends."""
 
     def __init__(self, term):
         self.member = SimpleNamespace(term=term)
@@ -37,7 +37,7 @@
         self.sent.append((label, frame))
 
     def adopt(self, new):
-        """The term changes. Returns the requests with claims that are sent because of it."""
+        """Adopts a term, and returns the (label, request) pairs with claims that are sent because of it."""
         old, self.member.term = self.member.term, new
         self.sent.clear()
         self.reconciliation.on_term(old, new)
@@ -46,56 +46,58 @@
 
 @pytest.fixture
 def term():
-    """Three members; ctl-0 is home to all shares."""
+    """Returns a term with three members in which ctl-0 leads all shards."""
     return Term().join("ctl-0", "a").join("ctl-1", "b").join("ctl-2", "c")
 
 
-def moved(term, label, machine=MACHINE):
-    """The next term: the machine's share goes from ctl-0 to that label."""
+def move_machine_shard(term, label, machine=MACHINE):
+    """Returns the next term, in which the machine's shard moves from ctl-0 to `label`."""
     return term.move({term.shard_of(machine): label}, "ctl-0")
 
 
-def other_move(term):
-    """The next term: a share that the machine is not in goes from ctl-0 to ctl-2."""
+def move_other_shard(term):
+    """Returns the next term, in which a shard without the machine moves from ctl-0 to ctl-2."""
     shard = next(shard for shard in term.shards_of("ctl-0") if shard != term.shard_of(MACHINE))
     return term.move({shard: "ctl-2"}, "ctl-0")
 
 
-def test_a_claim_that_a_newer_term_overtook_is_told_again(term):
-    """The new home has adopted the term after the one that the claim names, and drops it: told once only, the
-    owner would believe for ever that the task is there (a job never done, drawn day 130)."""
+def test_a_claim_that_a_newer_term_overtook_is_sent_again(term):
+    """A leader that has adopted a later term than the claim names ignores the claim.
+
+    If it were sent only once, the owner would believe forever that the task is there, and the job would never
+    end (random day 130)."""
     owner = Owner(term)
-    first = moved(term, "ctl-1")
-    [(label, _frame)] = owner.adopt(first)
+    first_term = move_machine_shard(term, "ctl-1")
+    [(label, _frame)] = owner.adopt(first_term)
     assert label == "ctl-1"
-    second = other_move(first)
-    [(label, frame)] = owner.adopt(second)
-    assert label == "ctl-1" and frame.term == second.number
+    second_term = move_other_shard(first_term)
+    [(label, frame)] = owner.adopt(second_term)
+    assert label == "ctl-1" and frame.term == second_term.number
     assert frame.claims == [(MACHINE, BoundJob.id, 0, 7)]
 
 
-def test_a_claim_that_was_answered_is_not_told_again(term):
+def test_an_answered_claim_is_not_sent_again(term):
     owner = Owner(term)
-    first = moved(term, "ctl-1")
-    [(label, frame)] = owner.adopt(first)
+    first_term = move_machine_shard(term, "ctl-1")
+    [(label, frame)] = owner.adopt(first_term)
     owner.reconciliation.on_synced(label, frames.ReconcileDone(frame.term, frame.number))
-    assert owner.adopt(other_move(first)) == []
+    assert owner.adopt(move_other_shard(first_term)) == []
 
 
-def test_a_claim_on_a_job_that_is_over_is_not_told_again(term):
+def test_a_claim_of_an_ended_job_is_not_sent_again(term):
     owner = Owner(term)
-    first = moved(term, "ctl-1")
-    assert owner.adopt(first)
+    first_term = move_machine_shard(term, "ctl-1")
+    assert owner.adopt(first_term)
     owner.jobs.clear()
-    assert owner.adopt(other_move(first)) == []
+    assert owner.adopt(move_other_shard(first_term)) == []
 
 
-def test_an_answer_for_an_older_term_does_not_settle_a_claim_told_again(term):
-    """It may come from before the home took the share."""
+def test_an_answer_for_an_older_term_does_not_settle_a_claim_sent_again(term):
+    """The leader may have given that answer before it adopted the shard."""
     owner = Owner(term)
-    first = moved(term, "ctl-1")
-    [(label, early)] = owner.adopt(first)
-    second = other_move(first)
-    assert owner.adopt(second)
+    first_term = move_machine_shard(term, "ctl-1")
+    [(label, early)] = owner.adopt(first_term)
+    second_term = move_other_shard(first_term)
+    assert owner.adopt(second_term)
     owner.reconciliation.on_synced(label, frames.ReconcileDone(early.term, early.number))
-    assert owner.adopt(other_move(second))
+    assert owner.adopt(move_other_shard(second_term))
--- a/tests/test_worker_leases.py
+++ b/tests/test_worker_leases.py
@@ -1,4 +1,4 @@
-"""A worker's lease as its home counts it: never over before the worker's own count of it is."""
+"""A worker's lease as its shard leader counts it: it must not end before the worker counts it as ended."""
 
 import cbor2
 import pytest
@@ -18,8 +18,8 @@
 """
 
 
-class Heard:
-    """A machine with tasks whose home heard it a while ago, and its worker."""
+class LeasedMachine:
+    """A machine with tasks, its worker, and its shard leader, which last received a report 0.5 s ago."""
 
     def __init__(self):
         self.world = World(RUNNING).run()
@@ -30,143 +30,145 @@
             if machine.tasks and machine.confirmed_token == machine.token
         )
         self.worker = self.world.cloud.rented[self.machine.id]
-        self.world.sim.time += 0.5  # nothing runs meanwhile
+        self.world.sim.time += 0.5  # the clock alone moves; no event is processed
 
     def now(self):
         return self.node._loop.now()
 
     def observe(self, report):
-        """The home takes in the answer to a direct command."""
+        """Has the shard leader process the answer to a direct command."""
         direct = messages.parse(report, messages.Report)
         return self.node.shard_leader.report_processor.observe(self.machine, direct)
 
     def answer(self, report):
-        """The home's answer to a report."""
+        """Returns the shard leader's answer to a report."""
         return WorkerReports(self.node).answer(cbor2.dumps(report))
 
 
 @pytest.fixture
-def heard():
-    return Heard()
+def leased():
+    return LeasedMachine()
 
 
-def test_a_report_that_a_direct_answer_overtook_renews_the_lease(heard):
-    report, direct_answer = heard.worker.report(), heard.worker.report()
-    assert heard.observe(direct_answer)
-    assert heard.machine.lease.renewed_at < heard.now()
-    assert heard.answer(report).status == 200
-    assert heard.machine.lease.renewed_at == heard.now()
+def test_a_report_that_a_direct_answer_overtook_renews_the_lease(leased):
+    report, direct_answer = leased.worker.report(), leased.worker.report()
+    assert leased.observe(direct_answer)
+    assert leased.machine.lease.renewed_at < leased.now()
+    assert leased.answer(report).status == 200
+    assert leased.machine.lease.renewed_at == leased.now()
 
 
-def test_a_report_in_order_renews_the_lease(heard):
-    assert heard.answer(heard.worker.report()).status == 200
-    assert heard.machine.lease.renewed_at == heard.now()
+def test_a_report_in_order_renews_the_lease(leased):
+    assert leased.answer(leased.worker.report()).status == 200
+    assert leased.machine.lease.renewed_at == leased.now()
 
 
 @pytest.mark.parametrize("overtaken", [False, True])
-def test_a_copy_of_a_report_renews_nothing_and_changes_nothing(heard, overtaken):
-    """Whoever gets its answer: the original was sent no later than it was answered the first time."""
-    report = heard.worker.report()
+def test_a_copy_of_a_report_renews_nothing_and_changes_nothing(leased, overtaken):
+    """Whichever copy's answer the worker gets, it counts from a time before the first answer."""
+    report = leased.worker.report()
     if overtaken:
-        heard.observe(heard.worker.report())
-    heard.answer(report)
-    renewed_at, tasks = heard.machine.lease.renewed_at, dict(heard.machine.tasks)
-    heard.world.sim.time += 1.0
-    assert heard.answer({**report, "legs": []}).status == 200
-    assert heard.machine.lease.renewed_at == renewed_at
-    assert heard.machine.tasks == tasks
-
-
-def test_a_report_older_than_one_answered_renews_nothing(heard):
-    old, new = heard.worker.report(), heard.worker.report()
-    heard.answer(new)
-    renewed_at = heard.machine.lease.renewed_at
-    heard.world.sim.time += 1.0
-    assert heard.answer(old).status == 200
-    assert heard.machine.lease.renewed_at == renewed_at
-
-
-def test_a_report_of_an_earlier_session_frees_and_renews_nothing(heard):
-    old = heard.worker.report()
-    heard.worker._end_session()
-    assert heard.answer(heard.worker.report()).status == 200
-    assert not heard.machine.tasks  # the new session began without any
-    renewed_at = heard.machine.lease.renewed_at
-    heard.world.sim.time += 1.0
-    assert heard.answer(old).status == 200
-    assert heard.machine.lease.renewed_at == renewed_at
-    assert not heard.machine.tasks and heard.machine.session == heard.worker.session
-
-
-def test_a_report_of_an_earlier_session_that_a_direct_answer_overtook_is_counted_and_frees_nothing(heard):
-    """The worker drops the answer; the home errs on the safe side."""
-    old = heard.worker.report()
-    heard.worker._end_session()
-    assert heard.observe(heard.worker.report())
-    heard.world.sim.time += 1.0
-    assert heard.answer(old).status == 200
-    assert heard.machine.lease.renewed_at == heard.now()
-    assert not heard.machine.tasks and heard.machine.session == heard.worker.session
-
-
-def test_a_report_of_the_next_session_frees_what_ran_and_renews(heard):
-    heard.worker._end_session()
-    direct_answer = heard.worker.report()
-    assert heard.observe(direct_answer)
-    assert not heard.machine.tasks and heard.machine.lease.renewed_at == heard.now()
-
-
-def test_a_direct_answer_alone_renews_nothing(heard):
-    renewed_at = heard.machine.lease.renewed_at
-    assert heard.observe(heard.worker.report())
-    assert heard.machine.lease.renewed_at == renewed_at
-
-
-def test_a_report_under_a_higher_token_is_not_answered(heard):
-    """Somebody else may be its home by now."""
-    renewed_at = heard.machine.lease.renewed_at
-    report = {**heard.worker.report(), "brand": heard.machine.token + 1}
-    assert heard.answer(report).status == 503
-    assert heard.machine.lease.renewed_at == renewed_at
-
-
-def test_a_report_under_a_lower_token_renews_and_frees_nothing(heard):
-    """The worker takes the answer, whose token is the higher one; a list under the old one proves nothing."""
-    tasks = dict(heard.machine.tasks)
-    report = {**heard.worker.report(), "brand": heard.machine.token - 1, "legs": []}
-    assert heard.answer(report).status == 200
-    assert heard.machine.lease.renewed_at == heard.now()
-    assert heard.machine.tasks == tasks
-
-
-def test_a_report_to_another_home_is_sent_there_and_renews_nothing(heard):
-    renewed_at = heard.machine.lease.renewed_at
-    label = next(name for name in heard.world.labels if name != heard.node.label)
-    other = heard.world.nodes[heard.world.labels.index(label)]
-    answer = WorkerReports(other).answer(cbor2.dumps(heard.worker.report()))
-    assert (answer.status, cbor2.loads(answer.body)) == (421, {"boss": heard.node.label})
-    assert heard.machine.lease.renewed_at == renewed_at
-
-
-def test_a_report_of_a_machine_that_is_gone_is_not_answered(heard):
-    report = heard.worker.report()
-    heard.node.shard_leader.machine_gone(heard.machine, "released")
-    assert heard.answer(report).status == 503
-    assert heard.machine.id not in heard.node.shard_leader.machines
-
-
-def test_a_task_of_an_attempt_that_is_not_known_is_found_not_taken_for_another(heard):
-    report = heard.worker.report()
+        leased.observe(leased.worker.report())
+    leased.answer(report)
+    renewed_at, tasks = leased.machine.lease.renewed_at, dict(leased.machine.tasks)
+    leased.world.sim.time += 1.0
+    assert leased.answer({**report, "legs": []}).status == 200
+    assert leased.machine.lease.renewed_at == renewed_at
+    assert leased.machine.tasks == tasks
+
+
+def test_a_report_older_than_one_answered_renews_nothing(leased):
+    old, new = leased.worker.report(), leased.worker.report()
+    leased.answer(new)
+    renewed_at = leased.machine.lease.renewed_at
+    leased.world.sim.time += 1.0
+    assert leased.answer(old).status == 200
+    assert leased.machine.lease.renewed_at == renewed_at
+
+
+def test_a_report_of_an_earlier_session_ends_no_task_and_renews_nothing(leased):
+    old = leased.worker.report()
+    leased.worker._end_session()
+    assert leased.answer(leased.worker.report()).status == 200
+    assert not leased.machine.tasks  # the new session began without any
+    renewed_at = leased.machine.lease.renewed_at
+    leased.world.sim.time += 1.0
+    assert leased.answer(old).status == 200
+    assert leased.machine.lease.renewed_at == renewed_at
+    assert not leased.machine.tasks and leased.machine.session == leased.worker.session
+
+
+def test_a_report_of_an_earlier_session_that_a_direct_answer_overtook_renews_and_ends_no_task(leased):
+    """The worker ignores the answer, so the leader counts the lease too long, which is safe."""
+    old = leased.worker.report()
+    leased.worker._end_session()
+    assert leased.observe(leased.worker.report())
+    leased.world.sim.time += 1.0
+    assert leased.answer(old).status == 200
+    assert leased.machine.lease.renewed_at == leased.now()
+    assert not leased.machine.tasks and leased.machine.session == leased.worker.session
+
+
+def test_a_report_of_the_next_session_ends_all_tasks_and_renews(leased):
+    leased.worker._end_session()
+    direct_answer = leased.worker.report()
+    assert leased.observe(direct_answer)
+    assert not leased.machine.tasks and leased.machine.lease.renewed_at == leased.now()
+
+
+def test_a_direct_answer_alone_renews_nothing(leased):
+    renewed_at = leased.machine.lease.renewed_at
+    assert leased.observe(leased.worker.report())
+    assert leased.machine.lease.renewed_at == renewed_at
+
+
+def test_a_report_under_a_higher_token_is_not_answered(leased):
+    """Another controller may lead its shard by now."""
+    renewed_at = leased.machine.lease.renewed_at
+    report = {**leased.worker.report(), "brand": leased.machine.token + 1}
+    assert leased.answer(report).status == 503
+    assert leased.machine.lease.renewed_at == renewed_at
+
+
+def test_a_report_under_a_lower_token_renews_and_ends_no_task(leased):
+    """The worker accepts the answer with the higher token; a task list under the old one proves nothing."""
+    tasks = dict(leased.machine.tasks)
+    report = {**leased.worker.report(), "brand": leased.machine.token - 1, "legs": []}
+    assert leased.answer(report).status == 200
+    assert leased.machine.lease.renewed_at == leased.now()
+    assert leased.machine.tasks == tasks
+
+
+def test_a_report_to_another_controller_is_redirected_and_renews_nothing(leased):
+    renewed_at = leased.machine.lease.renewed_at
+    label = next(name for name in leased.world.labels if name != leased.node.label)
+    other = leased.world.nodes[leased.world.labels.index(label)]
+    answer = WorkerReports(other).answer(cbor2.dumps(leased.worker.report()))
+    assert (answer.status, cbor2.loads(answer.body)) == (421, {"boss": leased.node.label})
+    assert leased.machine.lease.renewed_at == renewed_at
+
+
+def test_a_report_of_a_removed_machine_is_not_answered(leased):
+    report = leased.worker.report()
+    leased.node.shard_leader.machine_gone(leased.machine, "released")
+    assert leased.answer(report).status == 503
+    assert leased.machine.id not in leased.node.shard_leader.machines
+
+
+def test_a_task_of_an_unknown_attempt_is_registered_beside_the_known_one(leased):
+    report = leased.worker.report()
     row = {**report["legs"][0], "try": report["legs"][0]["try"] + 7}
-    assert heard.answer({**report, "legs": [*report["legs"], row]}).status == 200
+    assert leased.answer({**report, "legs": [*report["legs"], row]}).status == 200
     job, index = messages.split_task(row["leg"])
-    assert (job, index, row["try"]) in heard.machine.tasks
-    assert (job, index, row["try"] - 7) in heard.machine.tasks
+    assert (job, index, row["try"]) in leased.machine.tasks
+    assert (job, index, row["try"] - 7) in leased.machine.tasks
 
 
-def test_the_decisions_kept_explain_the_incident():
-    """From the lines alone: a report that was answered and not counted, the lease judged from the one before,
-    the task freed by that, and launched elsewhere while the worker's lease was not over."""
+def test_the_decision_log_explains_the_incident():
+    """Without the guard against overtaken reports a task runs twice, and the decision log alone shows why.
+
+    It has the report that was answered but not counted, the lease that ended counted from the report before,
+    the task freed by that, and its launch elsewhere before the worker's lease had ended."""
     with pytest.MonkeyPatch.context() as patch:
         ignore_renewals_by_overtaken_reports(patch)
         world = World(text_of("overtaken-reports")).run()
@@ -197,6 +199,8 @@
     assert any(f"machine={first}" in line and "decision=task_freed" in line for line in lines)
 
 
-@pytest.mark.parametrize("seed", [16, 43, 44])  # on which ran_twice broke while such answers were not counted
-def test_drawn_days_of_reports_in_any_order_break_no_rule(seed):
+@pytest.mark.parametrize(
+    "seed", [16, 43, 44]
+)  # these broke ran_twice while answers to overtaken reports were not counted
+def test_random_days_with_reordered_reports_break_no_rule(seed):
     assert played_report_orders(seed) == (seed, [])
