--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""Mutation tests of repeated submissions that meet a job's being taken over."""
+"""Mutation tests of submissions repeated while their job is being taken over by another controller."""
 
 import pytest
 from mutation import assert_noticed
@@ -11,21 +11,21 @@
 from roadhead.state.client import UnavailableError, UnknownOutcomeError
 
 
-def outcomes_by_id_alone(patch):
-    """The write that takes a job over counts as the outcome of the creation of the same id."""
+def match_outcomes_by_id_alone(patch):
+    """The write that takes a job over counts as the outcome of a creation with the same id."""
 
-    def settled(job_store, job):
+    def finish_creation(job_store, job):
         job_store._being_created.pop(job.id, None)
         return job_store._creations.pop(job.id, None)
 
-    patch.setattr(JobStore, "_finish_creation", settled)
+    patch.setattr(JobStore, "_finish_creation", finish_creation)
 
 
-def outcomes_twice(patch):
-    """Neither the recorder nor the store sees that the outcome of a creation is known.
+def settle_outcomes_twice(patch):
+    """Neither the recorder nor the store checks whether the outcome of a creation is already known.
 
-    One found to exist while its own write is under way is settled again by that, which takes the job of its
-    id out of the store."""
+    A job found to exist while its own write is in flight is settled a second time when that write ends, which
+    removes the job with that id from the store."""
     real = JobStore._on_conflict
 
     async def settle(recorder, job):
@@ -36,18 +36,18 @@
         if record is not None:
             recorder._on_conflict(job, record, stamp)
 
-    def conflict(job_store, job, record, stamp):
+    def on_conflict(job_store, job, record, stamp):
         if not job.stamp and job_store._being_created.get(job.id) is not job:
             job_store._remove_owned(job)
             return
         real(job_store, job, record, stamp)
 
     patch.setattr(Recorder, "_settle", settle)
-    patch.setattr(JobStore, "_on_conflict", conflict)
+    patch.setattr(JobStore, "_on_conflict", on_conflict)
 
 
-def test_word_of_a_cancellation_reaches_a_job_that_is_submitted_again():
-    """It was taken over here while a repeated submission is still creating it: both are to know."""
+def test_a_cancellation_reaches_both_an_inherited_job_and_its_repeated_creation():
+    """The job was taken over here while a repeated submission is still creating it; both must learn of it."""
     world = World("controllers 1\nat 1 submit legs=2 runS=100\nuntil 20").run()
     job_store = world.nodes[0].job_store
     job = job_store.jobs["req-000001"]
@@ -56,6 +56,6 @@
     assert job.state == "cancelled" and job.id in job_store._cancelled_early
 
 
-@pytest.mark.parametrize("mutate", [outcomes_by_id_alone, outcomes_twice])
-def test_the_scenario_notices(mutate):
+@pytest.mark.parametrize("mutate", [match_outcomes_by_id_alone, settle_outcomes_twice])
+def test_a_removed_guard_is_detected(mutate):
     assert_noticed(mutate, "repeat-while-taken-over")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""The way from the version in production to this one, while both serve on the same records."""
+"""Rolling upgrades from the version in production to this one, while both serve on the same records."""
 
 import os
 import random
@@ -16,7 +16,7 @@
 
 
 class Rolled(World):
-    """Controllers in `old` run the version in production when they start next."""
+    """A world in which controllers in `old` run the version in production from their next start on."""
 
     def __init__(self, text):
         self.old = {0, 1, 2}
@@ -32,7 +32,10 @@
         super().start(number)
 
     def fronts_for(self, job):
-        """Nothing new is asked of the old version, which would not see the field."""
+        """Returns the controllers to which a user may submit a job.
+
+        A job with `upstream` goes to none of the old version, which would ignore the field.
+        """
         return [
             front
             for number, front in enumerate(self.fronts)
@@ -49,6 +52,7 @@
         super().do(words)
 
     def gate(self):
+        """Returns the format in force."""
         record = self.state.data.get(format_gate.GATE)
         return record[0]["format"] if record is not None else FIRST_FORMAT
 
@@ -67,8 +71,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_roll_one_by_one_and_then_pipelines(seed):
-    """Old and new serve side by side; what is new is taken only once the last is new, then at once."""
+def test_a_rolling_upgrade_and_then_pipelines(seed):
+    """Both versions serve side by side; the new format is in force only once all are upgraded."""
     world = Rolled(f"""{LIMITS}
     seed {seed}
     capacity 8
@@ -94,8 +98,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_roll_to_several_quota_partitions_and_back(seed):
-    """The version in production leads partitions that the new one made, and the other way round."""
+def test_upgrades_and_downgrades_with_several_quota_partitions(seed):
+    """Each version leads quota partitions that the other has created."""
     crews = ("crew", "crew-2", "crew-3", "crew-4")
     work = "\n".join(
         f"at {at + number / 8} submit crew={crew} legs=14 runS=6"
@@ -122,8 +126,8 @@
     assert len(world.nodes[1].member.term.quota_leaders) == 12
 
 
-def test_before_the_gate_what_is_new_is_refused_at_once_and_nothing_of_it_is_written():
-    """The last to be replaced is away, not old: it may come back old, so those alive do not count alone."""
+def test_new_fields_are_refused_and_not_written_until_all_configured_members_are_upgraded():
+    """The last one is down, not old, but may come back old, so upgrading the live ones doesn't suffice."""
     world = Rolled(f"""{LIMITS}
     seed 2
     capacity 6
@@ -135,22 +139,24 @@
     at 80 upgrade 2
     until 250
     """)
-    seen = []
+    observed = []
 
-    def look():
-        seen.append((world.gate(), sum("upstream" in str(value) for value, *_ in world.state.data.values())))
+    def sample():
+        observed.append(
+            (world.gate(), sum("upstream" in str(value) for value, *_ in world.state.data.values()))
+        )
 
     for at in (35.0, 50.0, 70.0):
-        world.sim.call_at(at, look)
+        world.sim.call_at(at, sample)
     world.run()
-    assert seen == [(FIRST_FORMAT, 0)] * 3
+    assert observed == [(FIRST_FORMAT, 0)] * 3
     assert world.violations == [] and world.failures.texts == []
     assert {user.last_state for user in world.users.values()} == {"done"}
     assert world.counter("refused_submission_format_gate") > 0 and world.gate() == 4
 
 
-def drawn(seed):
-    """A roll under troubles of all kinds, in any order, with pipelines after it."""
+def random_upgrade(seed):
+    """Returns a random scenario: a rolling upgrade in any order under faults of all kinds, then pipelines."""
     rng = random.Random(seed)
     lines = [
         LIMITS,
@@ -160,15 +166,17 @@
         f"at 1 submit count={rng.randrange(6, 14)} legs=8 runS={rng.choice((6, 20))}",
     ]
     order = rng.sample(range(3), 3)
-    step = rng.choice((0.2, 4, 10, 15))
-    back = rng.choice((0.1, 0.4, 3))
-    for place, number in enumerate(order):
-        lines.append(f"at {20 + place * step} upgrade {number} {back}")
+    gap_s = rng.choice((0.2, 4, 10, 15))
+    downtime_s = rng.choice((0.1, 0.4, 3))
+    for position, number in enumerate(order):
+        lines.append(f"at {20 + position * gap_s} upgrade {number} {downtime_s}")
         if rng.random() < 0.4:
-            lines.append(f"at {20 + place * step + rng.choice((0.3, 2, 5))} crash {rng.randrange(3)} {back}")
-        if rng.random() < 0.2 and place < 2:
-            lines.append(f"at {20 + place * step + 2} downgrade {number} {back}")
-            lines.append(f"at {22 + 3 * step + 8} upgrade {number} {back}")
+            lines.append(
+                f"at {20 + position * gap_s + rng.choice((0.3, 2, 5))} crash {rng.randrange(3)} {downtime_s}"
+            )
+        if rng.random() < 0.2 and position < 2:
+            lines.append(f"at {20 + position * gap_s + 2} downgrade {number} {downtime_s}")
+            lines.append(f"at {22 + 3 * gap_s + 8} upgrade {number} {downtime_s}")
     for _ in range(rng.randrange(1, 4)):
         at, node, length = rng.uniform(15, 60), rng.randrange(3), rng.choice((3, 8, 14))
         lines.append(
@@ -184,22 +192,23 @@
                     f"late-write {length}",
                     f"crash {node} 0.1",
                     "die 1",
-                    f"leave {node} {back}",
+                    f"leave {node} {downtime_s}",
                 )
             )
         )
     lines.append(f"at {rng.uniform(70, 90):.1f} lower")
     number = int(lines[4].split("count=")[1].split()[0])
-    for place, at in enumerate(sorted(rng.choice((30, 66, 80, 100)) for _ in range(3))):
-        lines.append(pipelines(at + place, number + 1 + 4 * place))
+    for position, at in enumerate(sorted(rng.choice((30, 66, 80, 100)) for _ in range(3))):
+        lines.append(pipelines(at + position, number + 1 + 4 * position))
     lines.append(f"at {rng.uniform(104, 125):.1f} cancel {number + 1 + 4 * rng.randrange(3)}")
     for _ in range(2):
-        lines.append(f"at {rng.uniform(80, 140):.1f} crash {rng.randrange(3)} {back}")
+        lines.append(f"at {rng.uniform(80, 140):.1f} crash {rng.randrange(3)} {downtime_s}")
     return "\n".join(lines)
 
 
 def played(seed):
-    world = Rolled(drawn(seed)).run()
+    """Plays a random upgrade and returns what went wrong."""
+    world = Rolled(random_upgrade(seed)).run()
     faults = [*world.violations, *world.failures.texts[:2]]
     if world.gate() != 4:
         faults.append(f"format {world.gate()} is in force")
@@ -215,13 +224,15 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
-def test_a_roll_in_any_order_under_any_trouble(seed):
+def test_a_rolling_upgrade_in_any_order_under_any_faults(seed):
     assert played(seed) == []
 
 
-def test_a_roll_of_real_processes(tmp_path, monkeypatch):
-    """Production's own processes are killed one after the other and come back as this version; what they
-    accepted is done, and a pipeline is taken once all are new. Bounded, not judged by seconds."""
+def test_a_rolling_upgrade_of_real_processes(tmp_path, monkeypatch):
+    """Processes of the production version are killed one by one and restarted as this version.
+
+    The jobs they accepted finish, and a pipeline is accepted once all are upgraded. The time is
+    only bounded."""
     monkeypatch.setenv("PYTHONPATH", os.pathsep.join([str(production.ROOT), *sys.path]))
     cluster = local.Cluster(tmp_path, [str(production.ROOT / "run.py")])
     ours = list(cluster.plan["program"])
@@ -232,11 +243,11 @@
             assert time.monotonic() < deadline, "not within the bound"
             time.sleep(0.1)
 
-    def submit(own, command="true", **fields):
-        cluster.submit(Submission(id=own, team=local.TEAM, klass="c", **fields), ["sh", "-c", command])
+    def submit(job_id, command="true", **fields):
+        cluster.submit(Submission(id=job_id, team=local.TEAM, klass="c", **fields), ["sh", "-c", command])
 
-    def done(own):
-        status, answer = cluster.ask("GET", f"/v1/jobs/{own}")
+    def done(job_id):
+        status, answer = cluster.ask("GET", f"/v1/jobs/{job_id}")
         return status == 200 and answer["status"] == "done"
 
     start = cluster._start
@@ -260,32 +271,32 @@
         submit("first", "sleep 1")
         submit("second", upstream=["first"])
         submit("third", upstream=["first", "second"], due_s=60.0)
-        until(lambda: all(done(own) for own in ("third", *(f"before{number}" for number in range(6)))))
+        until(lambda: all(done(job_id) for job_id in ("third", *(f"before{number}" for number in range(6)))))
         with pytest.raises(local.ClusterError, match=r"upstream: nowhere was never accepted"):
             submit("fourth", upstream=["nowhere"])
     finally:
         cluster.stop()
 
 
-def test_the_gate_opens_once_every_configured_member_was_seen_new():
+def test_the_format_gate_opens_once_every_configured_member_was_seen_upgraded():
     labels = ["a", "b", "c"]
     record = next_record(None, labels, {"a": 4, "b": 3}, 4, 10.0)
     assert record == {"format": FIRST_FORMAT, "seen": {"a": [4, 10.0], "b": [3, 10.0]}}
     assert next_record(record, labels, {"a": 4, "b": 3}, 4, 11.0) is None
     record = next_record(record, labels, {"a": 4, "b": 4}, 4, 12.0)
-    assert record["format"] == FIRST_FORMAT  # c was never seen, and may come back old
+    assert record["format"] == FIRST_FORMAT  # c was never seen, so it may still run the old version
     old = next_record(record, labels, {"a": 4, "b": 4, "c": 3}, 4, 13.0)
     assert old["seen"]["c"] == [3, 13.0] and old["format"] == FIRST_FORMAT
-    # a was seen new and is away: it comes back as it was seen. One that went back counts as old again.
+    # a was seen upgraded and is down: it counts as last seen. A downgraded member counts as old again.
     assert next_record(old, labels, {"b": 4, "c": 4}, 4, 14.0)["format"] == 4
     assert next_record(old, labels, {"a": 3, "b": 4, "c": 4}, 4, 14.0)["format"] == FIRST_FORMAT
-    # Somebody old that the settings do not name is a member all the same.
+    # An old member that the settings don't name counts too.
     assert next_record(old, labels, {"a": 4, "b": 4, "c": 4, "d": 3}, 4, 14.0)["format"] == FIRST_FORMAT
     assert next_record({"format": 4, "seen": {}}, labels, {}, 4, 15.0) is None
 
 
-def test_a_version_older_than_what_is_in_force_touches_nothing():
-    """It neither joins nor answers, and says so once."""
+def test_a_version_older_than_the_format_in_force_changes_nothing():
+    """It neither joins nor answers, and logs that once."""
     world = World("""
     at 1 submit count=2 legs=2 runS=5
     at 40 crash 0
@@ -304,10 +315,10 @@
     }
 
 
-def test_what_the_gate_tells_operators():
+def test_the_format_gate_describes_its_state_to_operators():
     known = FormatGate(4, ["a", "b"])
     known.take({"format": FIRST_FORMAT, "seen": {"a": [4, 100.0]}}, 7)
-    known.take({"format": 4, "seen": {}}, 6)  # older word changes nothing
+    known.take({"format": 4, "seen": {}}, 6)  # an older revision changes nothing
     assert known.describe(130.0) == {
         "format": FIRST_FORMAT,
         "open": False,
@@ -319,8 +330,8 @@
     }
 
 
-def test_a_record_of_a_newer_format_is_left_alone():
-    """Nobody takes it over, answers for it, cancels it or moves it; the others are served."""
+def test_a_record_of_a_newer_format_is_left_unchanged():
+    """No controller takes it over, answers for it, cancels it or archives it; other jobs are served."""
     world = World("""
     at 1 submit count=2 legs=2 runS=5
     at 20 crash 0
@@ -342,7 +353,7 @@
     assert {user.last_state for user in world.users.values()} == {"done"}
 
 
-def test_an_empty_upstream_is_none_also_before_the_gate():
+def test_an_empty_upstream_counts_as_none_even_before_the_format_gate_opens():
     world = Rolled("""
     at 1 submit count=2 legs=1 runS=3
     at 8 upgrade 0
