--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,4 +1,4 @@
-"""Fault combinations in virtual time: samples of all orders, and the guards that each of them covers."""
+"""Fault combinations in virtual time: samples of all orders, and mutation tests of the guards they cover."""
 
 import itertools
 
@@ -13,14 +13,14 @@
 from roadhead.machines.report_processor import ReportProcessor
 from roadhead.machines.task_commands import TaskCommands
 
-CASES_MOST = 40  # played for a mutation that is not noticed
-SAMPLES = 4  # of each combination; `tests/fault_combinations.py` plays all
+MAX_CASES = 40  # cases played before a mutation counts as undetected
+SAMPLES_PER_COMBINATION = 4  # `tests/fault_combinations.py` plays all cases of each combination
 
 
 def sample(generate):
-    """A few orders and spacings, spread over all of them."""
+    """Returns a few orders and spacings, spread evenly over all of them."""
     cases = list(generate())
-    return cases[1 :: len(cases) // SAMPLES][:SAMPLES]
+    return cases[1 :: len(cases) // SAMPLES_PER_COMBINATION][:SAMPLES_PER_COMBINATION]
 
 
 @pytest.mark.parametrize(
@@ -33,8 +33,8 @@
     assert (outcome.faults, outcome.open_jobs) == ([], 0)
 
 
-SLOW_LINK_S = 0.25  # one way, where it is usually a thousandth of a second
-MORE_WORK_THAN_ROOM = """
+SLOW_LINK_S = 0.25  # one way; it is usually about 1 ms
+OVERLOADED_CLUSTER = """
 capacity 3
 until 260
 settled 60
@@ -48,25 +48,25 @@
 """
 
 
-def over_slow_links(seed):
-    """More work than room, urgent and not, while each message takes a quarter of a second."""
-    world = World(f"{MORE_WORK_THAN_ROOM}\nseed {seed}\n")
+def run_over_slow_links(seed):
+    """Runs a world with more tasks, of all urgencies, than capacity, and with a latency of SLOW_LINK_S."""
+    world = World(f"{OVERLOADED_CLUSTER}\nseed {seed}\n")
     world.network.latency = SLOW_LINK_S
     return world.run()
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_more_work_than_room_over_slow_links(seed):
-    """Everything is done, no machine is given more than it has room for, and the critical don't wait."""
-    world = over_slow_links(seed)
+def test_an_overloaded_cluster_over_slow_links(seed):
+    """All jobs finish, no machine is overcommitted, and critical jobs end before those of low urgency."""
+    world = run_over_slow_links(seed)
     assert world.check() == []
     done_at = {job: user.told_at for job, user in world.users.items()}
     low, critical = list(done_at.values())[:10], list(done_at.values())[16:22]
     assert max(critical) < max(low)
 
 
-def test_starts_without_a_grant_over_slow_links_are_noticed():
-    """A home that starts whatever it is asked to gives machines more than they have room for."""
+def test_starts_without_a_grant_over_slow_links_are_detected():
+    """A shard leader that starts every requested task without checking the grant overcommits machines."""
 
     def start(self, label, incarnation, frame, machine, requirements, index, attempt):
         key = (frame.job, index, attempt)
@@ -79,15 +79,15 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(TaskCommands, "_start", start)
-        worlds = map(over_slow_links, range(1, 11))
+        worlds = map(run_over_slow_links, range(1, 11))
         assert any("found no room" in fault for world in worlds for fault in world.check())
 
 
-def started_before_written(patch):
-    """A job's tasks start before its record is written."""
+def start_before_record_is_written(patch):
+    """Tasks of a job start before the job's record is written."""
     real_create, real_created = JobStore.create, JobStore._on_created
 
-    def created(self, job):
+    def on_created(self, job):
         if job.id not in self.jobs:
             real_created(self, job)
 
@@ -97,12 +97,12 @@
             self._on_created(self._being_created[spec.id])
         return pending
 
-    patch.setattr(JobStore, "_on_created", created)
+    patch.setattr(JobStore, "_on_created", on_created)
     patch.setattr(JobStore, "create", create)
 
 
-def old_reports_count(patch):
-    """A report counts although a newer one of the same machine was heard."""
+def accept_older_reports(patch):
+    """A report is processed although a newer one of the same machine was received."""
     real = ReportProcessor.observe
 
     def observe(self, machine, report):
@@ -112,8 +112,8 @@
     patch.setattr(ReportProcessor, "observe", observe)
 
 
-def any_token_confirms(patch):
-    """A report under an older fencing token tells a successor all that runs on the machine."""
+def accept_reports_under_any_token(patch):
+    """A report under an older fencing token counts as a complete list of the machine's tasks."""
     real = ReportProcessor.observe
 
     def observe(self, machine, report):
@@ -123,8 +123,8 @@
     patch.setattr(ReportProcessor, "observe", observe)
 
 
-def only_running_tasks_have_a_zone(patch):
-    """Tasks that are on their way, or stopping, don't count for `together` and `scatter`."""
+def place_by_zones_of_running_tasks_only(patch):
+    """Tasks that are launching or stopping don't count for `together` and `scatter`."""
     real = Dispatcher._zone_allowed
 
     def zone_allowed(job, zone):
@@ -139,22 +139,22 @@
 
 
 MUTATIONS = [
-    (started_before_written, fault_combinations.quick_boots, 155),
-    (old_reports_count, fault_combinations.kept_reports, 38),
-    (any_token_confirms, fault_combinations.kept_reports, 42),
-    (old_reports_count, fault_combinations.held_reports, 31),
+    (start_before_record_is_written, fault_combinations.quick_boots, 155),
+    (accept_older_reports, fault_combinations.kept_reports, 38),
+    (accept_reports_under_any_token, fault_combinations.kept_reports, 42),
+    (accept_older_reports, fault_combinations.held_reports, 31),
     (test_safety.free_tasks_of_silent_machines, fault_combinations.mute_machines, 22),
-    (only_running_tasks_have_a_zone, fault_combinations.zones_that_lose_machines, 11),
+    (place_by_zones_of_running_tasks_only, fault_combinations.zones_that_lose_machines, 11),
     (test_safety.keep_old_tokens, fault_combinations.deposed_commands, 0),
 ]
 
 
 @pytest.mark.parametrize(("mutate", "generate", "first"), MUTATIONS)
-def test_a_missing_guard_is_noticed(mutate, generate, first):
-    """Luck decides where tasks run, so some cases are tried, from the one of that number on.
+def test_a_removed_guard_is_detected(mutate, generate, first):
+    """Placement is random, so several cases are tried, starting with number `first`.
 
-    The first that breaks a rule without the guard breaks none with it."""
-    for combination in itertools.islice(itertools.cycle(generate()), first, first + CASES_MOST):
+    The first case that breaks a rule without the guard must break none with it."""
+    for combination in itertools.islice(itertools.cycle(generate()), first, first + MAX_CASES):
         with pytest.MonkeyPatch.context() as patch:
             mutate(patch)
             noticed = fault_combinations.played(combination).faults
--- a/tests/test_write_path.py
+++ b/tests/test_write_path.py
@@ -1,4 +1,4 @@
-"""The write path while answers of the state service are lost (jobs/recorder.py, state/latency.py)."""
+"""The write path while responses of the state service are lost (jobs/recorder.py, state/latency.py)."""
 
 import itertools
 import random
@@ -23,28 +23,28 @@
 from roadhead.telemetry import Counters
 from roadhead.wire import messages
 
-# Waiting for one answer
+# Timeouts for one response
 
 
-def test_the_wait_for_an_answer_follows_from_those_seen():
+def test_the_timeout_follows_from_measured_response_times():
     answers = ResponseTimeEstimator(3.0)
     assert answers.timeout_s == 1.0
     for _ in range(50):
         answers.record_answer(0.005)
-    assert answers.timeout_s == pytest.approx(0.1)  # not below the process's own pauses
+    assert answers.timeout_s == pytest.approx(0.1)  # never below the pauses of the process itself
     for _ in range(50):
         answers.record_answer(random.Random(1).uniform(0.2, 0.3))
     assert 0.2 < answers.late_s < 0.6
 
 
-def test_a_slow_state_service_is_not_taken_for_one_that_loses_answers():
+def test_timeouts_grow_until_a_slow_state_service_answers_within_them():
     answers = ResponseTimeEstimator(3.0)
     answers.record_answer(0.005)
-    tries = 0
-    while answers.timeout_s < 0.7:  # each answer takes that long from now on
+    timeouts = 0
+    while answers.timeout_s < 0.7:  # each response takes 0.7 s from now on
         answers.record_timeout()
-        tries += 1
-    assert tries <= 4 and answers.late_s < 0.2
+        timeouts += 1
+    assert timeouts <= 4 and answers.late_s < 0.2
     answers.record_answer(0.7)
     assert 0.7 < answers.late_s == answers.timeout_s
     for _ in range(20):
@@ -52,43 +52,43 @@
     assert answers.timeout_s == 3.0
 
 
-def test_a_late_answer_holds_up_nothing_and_an_early_one_makes_batches():
+def test_late_answers_do_not_delay_transactions_and_early_ones_allow_batches():
     sim = Sim(1)
-    lanes = TransactionPacer(sim, answers := ResponseTimeEstimator(3.0))
+    pacer = TransactionPacer(sim, answers := ResponseTimeEstimator(3.0))
     answers.record_answer(0.01)
-    began = []
+    began_at = []
     outcomes = [Future() for _ in range(LANES + 2)]
 
     async def carry_out(number):
-        began.append(sim.time)
+        began_at.append(sim.time)
         await outcomes[number]
 
     async def run():
         for number in range(LANES + 2):
-            await lanes.turn()
-            lanes.begin(carry_out(number))
+            await pacer.turn()
+            pacer.begin(carry_out(number))
 
     sim.spawn(run(), "run")
     sim.call_later(0.05, outcomes[0].set)
     sim.call_later(5.0, outcomes[1].set)
     sim.run_until(10.0)
-    assert began[1] == pytest.approx(0.05, abs=0.01)  # at once, as the first is answered
-    assert began[2] - began[1] == pytest.approx(answers.late_s, abs=0.01)
-    assert began[LANES] - began[LANES - 1] == pytest.approx(answers.late_s, abs=0.01)
-    assert began[LANES + 1] == pytest.approx(5.0, abs=0.01)  # no more than so many at once
+    assert began_at[1] == pytest.approx(0.05, abs=0.01)  # as soon as the first is answered
+    assert began_at[2] - began_at[1] == pytest.approx(answers.late_s, abs=0.01)
+    assert began_at[LANES] - began_at[LANES - 1] == pytest.approx(answers.late_s, abs=0.01)
+    assert began_at[LANES + 1] == pytest.approx(5.0, abs=0.01)  # at most LANES are in flight
 
 
-# Each outcome of each transaction
+# All outcomes of the first transactions
 
 OUTCOMES = ("answered", "lost", "never", "late", "slow")
-LOST_S = 0.1  # after which a sender gives up
-LATE_S = 0.35  # after which a transaction is carried out whose sender gave up
+LOST_S = 0.1  # a sender whose answer is lost gives up after this time
+LATE_S = 0.35  # a late transaction is carried out after this time, when its sender has given up
 PROGRESS_S = 0.2
 TASKS = 4
 
 
 class Store:
-    """A state service whose first transactions have these outcomes."""
+    """A state service whose first transactions have the given outcomes; later ones are answered."""
 
     batch = 2
 
@@ -130,7 +130,7 @@
         return failed, self.epoch
 
     def stored(self, job):
-        """(record, stamp) of the job; no stamp for one on the shelf, which nobody writes any more."""
+        """Returns (record, stamp) of a job; an archived one has stamp 0, as it is no longer written."""
         record, _stamp = self.data.get(ARCHIVE + job.id, (None, 0))
         return (record, 0) if record else self.data[KEY + job.id]
 
@@ -149,21 +149,23 @@
     return Job(messages.JobSpec(f"req-{number:06d}", *needs), ("here", 1), 0.0)
 
 
-def played(outcomes, burst):
-    """Faults of a recorder whose first transactions have these outcomes, while two jobs go on."""
+def play(outcomes, burst):
+    """Returns what a recorder does wrong with two jobs when its first transactions have these outcomes."""
     sim = Sim(1)
-    store, faults, over = Store(sim, outcomes, burst), [], set()
+    store, faults, completed = Store(sim, outcomes, burst), [], set()
     jobs = [new_job(number) for number in range(2)]
 
     def written(job, recorded, state):
         record, stamp = store.stored(job)
         if job.stamp != stamp or record["s"] != state:
-            faults.append(f"{job.id} is called {state} under {job.stamp}, and is {record['s']} under {stamp}")
+            faults.append(
+                f"{job.id} is reported as {state} at {job.stamp}, but stored as {record['s']} at {stamp}"
+            )
         elif state == "done":
-            over.add(job)
+            completed.add(job)
             recorder.cancel_write(job)
         elif not set(range(TASKS)).intersection(recorded_in(recorded)) <= recorded_in(Ranges(record["done"])):
-            faults.append(f"{job.id}: tasks are called recorded that are not")
+            faults.append(f"{job.id}: tasks are reported as recorded that are not")
 
     def recorded_in(ranges):
         return {index for index in range(TASKS) if index in ranges}
@@ -172,7 +174,7 @@
         job.stamp = stamp
         if record["s"] == "done":
             recorder.cancel_write(job)
-            over.add(job)
+            completed.add(job)
 
     def done(job, index):
         job.done.add(index)
@@ -190,50 +192,50 @@
         for index in range(TASKS):
             sim.call_later(0.13 + 0.17 * index + 0.03 * number, done, job, index)
     sim.run_until(5.0)
-    faults += [f"{job.id} is not done" for job in jobs if job not in over]
+    faults += [f"{job.id} is not done" for job in jobs if job not in completed]
     faults += [f"{job.id} is stored as open" for job in jobs if store.stored(job)[0]["s"] != "done"]
     return faults
 
 
 def faults_of_all(burst):
     cases = itertools.product(OUTCOMES, repeat=4)
-    return {outcomes: faults for outcomes in cases if (faults := played(outcomes, burst))}
+    return {outcomes: faults for outcomes in cases if (faults := play(outcomes, burst))}
 
 
-@pytest.mark.parametrize("burst", [4.0, 1000.0])  # with more, final records go to the shelf at once
+@pytest.mark.parametrize("burst", [4.0, 1000.0])  # with 1000, final records are archived at once
 def test_each_outcome_of_each_transaction(burst):
-    """Safety 5: what is called written is stored as it was sent, in the order of a job's writes."""
+    """Safety 5 (docs/design.md): what is reported as written is stored as sent, in order for each job."""
     assert faults_of_all(burst) == {}
 
 
-def two_writes_of_a_job_under_way(patch):
-    """A job is marked while its write is under way, and is in the next transaction at once."""
+def allow_concurrent_writes_of_a_job(patch):
+    """A job scheduled while its write is in flight is included in the next transaction at once."""
     real = Recorder.schedule_write
 
-    def mark(self, job, urgency):
+    def schedule_write(self, job, urgency):
         self._in_flight.pop(job, None)
         real(self, job, urgency)
 
-    patch.setattr(Recorder, "schedule_write", mark)
+    patch.setattr(Recorder, "schedule_write", schedule_write)
 
 
-def any_record_taken_for_the_one_sent(patch):
-    """An earlier try with other content was carried out, and the last one is called written."""
+def accept_any_stored_record(patch):
+    """An earlier try with other content was carried out, and the last try is reported as written."""
     patch.setattr(RecordWrite, "is_stored_as", lambda self, record: True)
 
 
-@pytest.mark.parametrize("mutate", [two_writes_of_a_job_under_way, any_record_taken_for_the_one_sent])
-def test_the_outcomes_notice_a_missing_guard(mutate):
+@pytest.mark.parametrize("mutate", [allow_concurrent_writes_of_a_job, accept_any_stored_record])
+def test_a_removed_guard_is_detected(mutate):
     with pytest.MonkeyPatch.context() as patch:
         mutate(patch)
         assert faults_of_all(burst=4.0), mutate.__doc__
 
 
-# Users meanwhile
+# Users during faults
 
 
 class TimedUser(EmulatedUser):
-    """Notes how long it took until its job was accepted."""
+    """A user that measures how long it took until its job was accepted."""
 
     accepted_after = None
 
@@ -252,9 +254,9 @@
         return TimedUser(self, job)
 
 
-def stream(seconds, *troubles):
-    """One-task jobs, four a second, of which every fourth is cancelled 2 s later."""
-    lines = ["write_rps 30", "capacity 40", f"until {seconds + 80}", *troubles]
+def job_stream(seconds, *faults):
+    """Returns a scenario of four one-task jobs a second, of which every fourth is cancelled 2 s later."""
+    lines = ["write_rps 30", "capacity 40", f"until {seconds + 80}", *faults]
     for number in range(4 * seconds):
         lines.append(f"at {1 + number / 4} submit count=1 legs=1 runS=5 expectS=5")
         if number % 4 == 3:
@@ -262,24 +264,24 @@
     return "\n".join(lines)
 
 
-def served(seconds, *troubles):
-    """The users of a stream during these troubles."""
-    world = TimedWorld(stream(seconds, *troubles)).run()
+def run_users(seconds, *faults):
+    """Runs a job stream with the given faults and returns its users, whose jobs must all have ended."""
+    world = TimedWorld(job_stream(seconds, *faults)).run()
     assert world.violations == []
     assert [user.id for user in world.users.values() if not user.accepted] == []
     assert {user.last_state for user in world.users.values()} == {"done", "cancelled"}
     return list(world.users.values())
 
 
-def test_losing_answers_costs_little():
-    users = served(20, "at 1 lose-writes 0.3 20")
+def test_losing_answers_hardly_delays_acceptance():
+    users = run_users(20, "at 1 lose-writes 0.3 20")
     assert sum(user.accepted_after <= 1.0 for user in users) >= 0.95 * len(users)
 
 
-def test_nobody_gives_up_while_every_second_answer_is_lost():
-    users = served(20, "at 1 lose-writes 0.5 20")
+def test_no_user_gives_up_while_half_of_the_answers_are_lost():
+    users = run_users(20, "at 1 lose-writes 0.5 20")
     assert sum(user.accepted_after <= 1.0 for user in users) >= 0.85 * len(users)
 
 
 def test_transactions_carried_out_late_after_newer_ones_break_no_rule():
-    served(15, "at 1 late-writes 0.25 15", "at 1 lose-writes 0.25 15", "seed 3")
+    run_users(15, "at 1 late-writes 0.25 15", "at 1 lose-writes 0.25 15", "seed 3")
