--- a/tests/test_read_order.py
+++ b/tests/test_read_order.py
@@ -1,4 +1,7 @@
-"""Users ask every controller within milliseconds of an event: no answer is older than one heard before."""
+"""Read order: users query all controllers within milliseconds of an event, and no answer may be stale.
+
+An answer is stale if it shows a state older than one that was answered before the query was sent.
+"""
 
 import pytest
 from answer_order import EVENT_S, AskedWorld, RecordingUser, older_answers
@@ -15,20 +18,20 @@
 
 OWNER = "10.0.0.1"  # the first controller's host
 READER = "10.0.0.3"  # the third controller's host
-CUT_OFF = f"{READER}:8080"
-LATE_S = 0.08  # within the least time for which a transaction's answer is waited for
-AT_ONCE_S = 0.1
-ONE_IN_TURN = 3  # users who wait for a controller that is cut off, in the seconds around the events
+READER_ADDRESS = f"{READER}:8080"
+LATE_S = 0.08  # shorter than the minimum timeout of a transaction
+IMMEDIATE_S = 0.1
+MAX_WAITING_USERS = 3  # most users that may wait for a cut-off controller in the seconds around an event
 EVENTS = ("accepted", "called off", "ended", "cancelled", "both", "cancelled above")
 
 
 def at(seconds, text):
-    """A scenario's line, so long after the events begin."""
+    """Returns a scenario line that takes effect `seconds` after the events begin."""
     return f"at {EVENT_S + seconds:g} {text}\n"
 
 
 CUT_FROM_PEERS = "".join(at(-25, f"cut {n} 2 60 lose") for n in (0, 1))
-CONDITIONS = {  # of the third controller, or of all
+CONDITIONS = {  # name -> scenario lines that put the third controller, or all, into this condition
     "well": "",
     "quota leader": "cpus_max 8\n",
     "heir": at(-13, "crash 0 60"),
@@ -50,7 +53,7 @@
 
 
 def played(event, condition, text=""):
-    """The world after that event under that condition."""
+    """Returns a finished world in which an event took place under a condition."""
     world = AskedWorld(event, CONDITIONS[condition] + text)
     if condition in ("watch lags", "dropped, and does not know it"):
         world.sim.call_at(EVENT_S - 25, world.silent_watches.add, READER)
@@ -73,14 +76,14 @@
 
 @pytest.mark.parametrize("event", EVENTS)
 @pytest.mark.parametrize("condition", CONDITIONS)
-def test_no_answer_is_older_than_one_heard_before(event, condition):
+def test_no_answer_is_older_than_one_given_before(event, condition):
     world = played(event, condition)
     assert older_answers(world.answers) == []
     assert world.violations == [] and world.ghosts() == [] and world.failures.texts == []
 
 
-def asked_while_it_moves(method):
-    """The answer on a job, over long since, whose record moves to the archive between two reads of it."""
+def answer_during_archiving(method):
+    """Returns the reply about a job that ended long ago, whose record is archived between two reads."""
     world, name, answers = AskedWorld("ended", ""), "req-000009", []
     world.sim.run_until(20.0)
     world.state.put(f"j/{name}", {"s": "done", "n": 1, "d": 1})
@@ -94,18 +97,18 @@
 
     world.user_loop.spawn(ask(), "ask")
     world.sim.run_until(25.0)
-    assert world.moving is None, "it was not read"
+    assert world.moving is None, "the record was not read while it moved"
     return answers[0]
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
-def test_a_record_that_moves_between_two_reads_is_found(method):
-    reply = asked_while_it_moves(method)
+def test_a_record_that_is_archived_between_two_reads_is_found(method):
+    reply = answer_during_archiving(method)
     assert (reply.status, reply.body["status"]) == (200, "done")
 
 
-def test_reading_the_archive_first_is_noticed():
-    """5: a record that moves between two reads is not found in either place."""
+def test_reading_the_archive_first_is_detected():
+    """Safety 5: with this order a record that is archived between two reads is found in neither place."""
     real = RecordReader.__init__
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(
@@ -115,11 +118,11 @@
                 self, loop, state, patience_s, places[::-1], *more
             ),
         )
-        assert asked_while_it_moves("GET").status == 404
+        assert answer_during_archiving("GET").status == 404
 
 
-def asked_while_it_is_made():
-    """The answer of a controller on a job that it has accepted since it read that there is none."""
+def status_during_creation():
+    """Returns the status of a query for a job that the controller accepts while its read finds none."""
     world, answers = AskedWorld("ended", ""), []
     world.sim.run_until(20.0)
     user = RecordingUser(world, {**world.users["req-000001"].job, "id": "req-000009"}, 1)
@@ -137,18 +140,18 @@
     return answers[0].status
 
 
-def test_no_controller_calls_a_job_missing_that_it_accepted():
-    assert asked_while_it_is_made() == 200
+def test_no_controller_answers_404_for_a_job_that_it_accepted():
+    assert status_during_creation() == 200
 
 
-def test_a_read_sent_before_a_creation_and_believed_after_it_is_noticed():
+def test_trusting_a_read_sent_before_the_creation_is_detected():
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(RecordReader, "note_existing", lambda self, name: None)
-        assert asked_while_it_is_made() == 404
+        assert status_during_creation() == 404
 
 
 def skip_stamp_comparison(patch):
-    """What was read before is told again without a look at its stamps."""
+    """A record read before is answered again without comparing its stamps."""
 
     async def compare(self, batch, known):
         for name, (record, _conditions) in known.items():
@@ -157,8 +160,8 @@
     patch.setattr(RecordReader, "_compare", compare)
 
 
-def missing_for_ever(patch):
-    """A job that was not found once is called unknown from then on."""
+def cache_missing_jobs_forever(patch):
+    """A job that was not found once is answered as unknown from then on."""
     real = RecordReader.read
 
     async def read(self, name):
@@ -168,8 +171,8 @@
     patch.setattr(RecordReader, "read", read)
 
 
-def over_before_durable(patch):
-    """A job is remembered as done when its last task is, before its record says so."""
+def remember_final_state_before_durable(patch):
+    """A job is remembered as done as soon as its last task is, before its record is written."""
     real = TaskReports._done
 
     def done(self, job, index):
@@ -180,8 +183,8 @@
     patch.setattr(TaskReports, "_done", done)
 
 
-def told_from_memory(patch):
-    """An owner answers from what it has in memory, whether or not it is the owner still."""
+def answer_from_memory(patch):
+    """An owner answers from memory, whether or not it still is the owner."""
     real = JobStates.read
 
     async def read(self, job_id):
@@ -193,8 +196,8 @@
     patch.setattr(JobStates, "read", read)
 
 
-def told_by_an_earlier_read(patch):
-    """A poll is answered by a request that was sent before it came."""
+def answer_from_earlier_read(patch):
+    """A poll is answered with a read that was sent before the poll arrived."""
     real = RecordReader._ask
 
     async def ask(self, name):
@@ -207,18 +210,18 @@
     patch.setattr(RecordReader, "_ask", ask)
 
 
-def final_records_read_meanwhile_forgotten(patch):
-    """A read answered late is told although the controller has said since that the job is over."""
+def ignore_final_records_learned_during_read(patch):
+    """A late read is answered although the controller has reported the job as ended in the meantime."""
     patch.setattr(Node, "read", lambda self, job_id: self.record_reader.read(job_id))
 
 
-def repeats_join_a_creation(patch):
-    """A repeated submission is told what a creation found that was under way when it came."""
+def join_creation_from_before(patch):
+    """A repeated submission gets the result of a creation that was in flight before it arrived."""
     patch.setattr(Submissions, "_join_creation", lambda self, spec: self._create(spec, cancelled=False))
 
 
-def cancelled_too_early_to_be_heard(patch):
-    """Word of a cancellation is lost on a controller whose write of the record is not answered yet."""
+def forget_cancellations_during_creation(patch):
+    """A controller whose write of the record is not answered yet forgets a cancellation it learns of."""
     patch.setattr(
         JobStore, "_cancelled_early", property(lambda self: set(), lambda self, _set: None), raising=False
     )
@@ -229,25 +232,25 @@
     [
         (skip_stamp_comparison, "cancelled", "answers of reads late"),
         (skip_stamp_comparison, "called off", "answers of reads late"),
-        (missing_for_ever, "accepted", "well"),
-        (over_before_durable, "both", "refused by the state service"),
-        (told_from_memory, "cancelled", "watch lags"),
-        (told_from_memory, "both", "dropped, and does not know it"),
-        (told_by_an_earlier_read, "cancelled", "answers of reads late"),
-        (final_records_read_meanwhile_forgotten, "cancelled", "answers of reads late"),
-        (repeats_join_a_creation, "called off", "owner hears of nobody, answers of its writes late"),
-        (cancelled_too_early_to_be_heard, "called off", "answers of the owner's writes late"),
+        (cache_missing_jobs_forever, "accepted", "well"),
+        (remember_final_state_before_durable, "both", "refused by the state service"),
+        (answer_from_memory, "cancelled", "watch lags"),
+        (answer_from_memory, "both", "dropped, and does not know it"),
+        (answer_from_earlier_read, "cancelled", "answers of reads late"),
+        (ignore_final_records_learned_during_read, "cancelled", "answers of reads late"),
+        (join_creation_from_before, "called off", "owner hears of nobody, answers of its writes late"),
+        (forget_cancellations_during_creation, "called off", "answers of the owner's writes late"),
     ],
 )
-def test_an_older_answer_is_noticed(mutate, event, condition):
+def test_a_removed_guard_gives_an_older_answer(mutate, event, condition):
     with pytest.MonkeyPatch.context() as patch:
         mutate(patch)
         world = played(event, condition)
     assert older_answers(world.answers) or world.ghosts(), mutate.__doc__
 
 
-def ended_while_it_is_cancelled():
-    """A world in which a job ends after a cancellation has read its record, and before that is written."""
+def run_end_during_cancellation():
+    """Runs a world in which a job ends after a cancellation has read its record and before it is written."""
     world = AskedWorld("ended", "")
     world.sim.run_until(39.0)
     world.held["/store/j/req-000001"] = 1.0
@@ -257,14 +260,14 @@
     return world.run()
 
 
-def test_an_end_and_a_cancellation_leave_one_answer():
-    world = ended_while_it_is_cancelled()
+def test_an_end_and_a_concurrent_cancellation_give_one_answer():
+    world = run_end_during_cancellation()
     assert world.users["req-000001"].last_state == "done"
     assert older_answers(world.answers) == [] and world.violations == []
 
 
-def test_a_cancellation_that_ignores_the_end_is_noticed():
-    """5: it is written although the job's record has changed since it was read."""
+def test_a_cancellation_that_ignores_the_end_is_detected():
+    """Safety 5: the cancellation is written although the job's record has changed since it was read."""
     real = StateClient.multi
 
     async def multi(self, conditions, writes):
@@ -273,37 +276,37 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(StateClient, "multi", multi)
-        world = ended_while_it_is_cancelled()
+        world = run_end_during_cancellation()
     assert older_answers(world.answers) and world.violations
 
 
 @pytest.mark.parametrize("event", EVENTS)
-def test_users_of_controllers_that_are_well_get_no_503(event):
+def test_healthy_controllers_answer_no_503(event):
     answers = played(event, "well").answers
     assert [answer for answer in answers if answer.status == 503 and answer.asked_at > EVENT_S - 1] == []
 
 
-def late_refusals(event):
-    """503 answers of a controller cut from the state service 5 s ago for which a user waited."""
+def slow_refusals(event):
+    """Returns slow 503 answers of a controller that has been cut off from the state service for 5 s."""
     return [
         answer
         for answer in played(event, "cut from the state service").answers
         if answer.status == 503
-        and answer.controller == CUT_OFF
+        and answer.controller == READER_ADDRESS
         and EVENT_S - 1 < answer.asked_at < EVENT_S + 1
-        and answer.answered_at - answer.asked_at > AT_ONCE_S
+        and answer.answered_at - answer.asked_at > IMMEDIATE_S
     ]
 
 
 @pytest.mark.parametrize("event", EVENTS)
-def test_what_cannot_be_answered_is_refused_at_once(event):
-    """But to one at a time, who finds out whether the state service is back."""
-    waited = sorted(late_refusals(event), key=lambda answer: answer.asked_at)
-    assert len(waited) <= ONE_IN_TURN
+def test_requests_that_cannot_be_answered_are_refused_at_once(event):
+    """Except for one at a time, which probes whether the state service is back."""
+    waited = sorted(slow_refusals(event), key=lambda answer: answer.asked_at)
+    assert len(waited) <= MAX_WAITING_USERS
     assert all(answer.answered_at - answer.asked_at < 1.8 for answer in waited)
 
 
-def test_waiting_for_the_state_service_is_noticed():
+def test_waiting_for_the_state_service_is_detected():
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(StateClient, "failing_for_s", lambda self: 0.0)
-        assert len(late_refusals("cancelled")) > 5 * ONE_IN_TURN
+        assert len(slow_refusals("cancelled")) > 5 * MAX_WAITING_USERS
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -1,4 +1,4 @@
-"""Each 503 has a named cause, and is given only where an argument needs it."""
+"""Refusals (503): each has a documented and counted cause, and requests wait where waiting avoids one."""
 
 from pathlib import Path
 
@@ -15,18 +15,20 @@
 OPERATIONS = Path(__file__).parent.parent / "docs" / "operations.md"
 
 
-class AskedAlone(Asked):
-    """As Asked, of controller 0, which is asked at the moment given."""
+class FirstControllerClient(Asked):
+    """A client of a world, which sends submissions to controller 0 at a given time."""
 
     def submit_at(self, second, fields=None):
+        """Submits a job to controller 0 at `second` and returns (status, body, headers)."""
         self.world.sim.run_until(second)
         return self.ask(0, "POST", "/v1/jobs", body(**(fields or {})))
 
-    def count(self, question, cause):
-        return self.world.nodes[0].counters.counts.get(counter_of(question, cause), 0)
+    def count(self, request_kind, cause):
+        """Returns how many requests of a kind controller 0 refused for a cause."""
+        return self.world.nodes[0].counters.counts.get(counter_of(request_kind, cause), 0)
 
 
-def test_each_cause_is_named_to_operators():
+def test_each_cause_is_documented_for_operators():
     page = OPERATIONS.read_text()
     assert set(TEXTS) == set(Cause)
     assert [cause.value for cause in Cause if f"| `{cause.value}` |" not in page] == []
@@ -47,52 +49,52 @@
     assert refusal_of(error).cause is cause
 
 
-def test_refusals_are_counted_and_said_in_the_summary():
-    asked = AskedAlone("at 14 outage 20")
-    assert asked.ask(0, "GET", "/v1/jobs/req-000001")[0] == 503
-    assert asked.ask(0, "POST", "/v1/jobs/req-000001/cancel")[0] == 503
-    assert asked.ask(0, "POST", "/v1/jobs", body())[0] == 503
-    lines = asked.world.nodes[0].summary()["troubles"]
-    for question in RequestKind:
-        assert any(f"{question.value}s answered 503" in line for line in lines)
-        assert any(asked.count(question, cause) for cause in Cause)
+def test_refusals_are_counted_and_listed_in_the_summary():
+    client = FirstControllerClient("at 14 outage 20")
+    assert client.ask(0, "GET", "/v1/jobs/req-000001")[0] == 503
+    assert client.ask(0, "POST", "/v1/jobs/req-000001/cancel")[0] == 503
+    assert client.ask(0, "POST", "/v1/jobs", body())[0] == 503
+    lines = client.world.nodes[0].summary()["troubles"]
+    for request_kind in RequestKind:
+        assert any(f"{request_kind.value}s answered 503" in line for line in lines)
+        assert any(client.count(request_kind, cause) for cause in Cause)
 
 
-def begun_anew(text=""):
-    """A world in which controller 0 begins anew at 20 s, and takes some tenths of a second to join."""
-    return AskedAlone(f"at 15 crash 0 5\nat 19.9 slow-state 0.1 1\n{text}")
+def client_of_restarted_controller(text=""):
+    """Returns a client of a world in which controller 0 restarts at 20 s and joins in under 1 s."""
+    return FirstControllerClient(f"at 15 crash 0 5\nat 19.9 slow-state 0.1 1\n{text}")
 
 
 def test_a_submission_waits_while_its_controller_joins():
-    asked = begun_anew()
-    status, answer, _ = asked.submit_at(20.01)
+    client = client_of_restarted_controller()
+    status, answer, _ = client.submit_at(20.01)
     assert (status, answer["status"]) == (201, "pending")
-    assert asked.took_s < 1.0
+    assert client.took_s < 1.0
 
 
 def test_a_submission_waits_for_the_machine_types():
-    asked = begun_anew("at 19.9 cloud-outage 0.4")
-    status, _, _ = asked.submit_at(20.8)
-    assert status == 201 and asked.took_s < 1.5
+    client = client_of_restarted_controller("at 19.9 cloud-outage 0.4")
+    status, _, _ = client.submit_at(20.8)
+    assert status == 201 and client.took_s < 1.5
 
 
-def test_a_controller_that_can_not_join_says_so_soon():
-    asked = begun_anew("at 19 cut 0 state 20 reset")
-    status, _, headers = asked.submit_at(22.0)
-    assert status == 503 and "retry-after" in headers and asked.took_s < 0.6
-    assert asked.count(RequestKind.SUBMISSION, Cause.NOT_A_MEMBER) == 1
+def test_a_controller_that_cannot_join_refuses_soon():
+    client = client_of_restarted_controller("at 19 cut 0 state 20 reset")
+    status, _, headers = client.submit_at(22.0)
+    assert status == 503 and "retry-after" in headers and client.took_s < 0.6
+    assert client.count(RequestKind.SUBMISSION, Cause.NOT_A_MEMBER) == 1
 
 
-def test_users_are_let_go_by_a_controller_that_is_not_ready():
-    """Only new connections are sent elsewhere by the load balancer."""
-    asked = AskedAlone("at 5 cut 0 state 30 reset")
-    assert not asked.world.nodes[0].ready()
-    assert asked.ask(0, "GET", "/v1/jobs/req-000001")[2].get("connection") == "close"
-    assert "connection" not in asked.ask(1, "GET", "/v1/jobs/req-000001")[2]
+def test_a_controller_that_is_not_ready_closes_connections():
+    """The load balancer directs only new connections to other controllers."""
+    client = FirstControllerClient("at 5 cut 0 state 30 reset")
+    assert not client.world.nodes[0].ready()
+    assert client.ask(0, "GET", "/v1/jobs/req-000001")[2].get("connection") == "close"
+    assert "connection" not in client.ask(1, "GET", "/v1/jobs/req-000001")[2]
 
 
 @pytest.mark.parametrize(
-    ("troubles", "ready"),
+    ("faults", "ready"),
     [
         ("at 5 cut 0 state 30 lose\nat 5 cut 0 peers 30 lose", [False, True, True]),
         ("at 5 outage 30", [True, True, True]),
@@ -101,16 +103,16 @@
     ],
     ids=["cut off alone", "down for all", "down for all that start anew", "one controller"],
 )
-def test_who_hears_nobody_is_not_ready_while_the_state_service_does_not_answer(troubles, ready):
-    """It refuses at once, so that a load balancer would favour it; in an outage all stay as they are."""
-    world = World(f"at 1 submit legs=2 runS=30\n{troubles}\nuntil 20").run()
+def test_an_isolated_controller_is_not_ready_while_the_state_service_does_not_answer(faults, ready):
+    """It refuses at once, so a load balancer would prefer it. In an outage for all, all remain ready."""
+    world = World(f"at 1 submit legs=2 runS=30\n{faults}\nuntil 20").run()
     assert [world.nodes[number].ready() for number in sorted(world.nodes)] == ready
 
 
 def test_a_submission_repeated_while_its_creation_is_under_way_joins_it(monkeypatch):
-    """However much waits: it adds nothing to that."""
-    asked = AskedAlone("at 14 slow-state 3 10")
-    world, answers = asked.world, []
+    """Even if the creation queue is full, since it adds no creation."""
+    client = FirstControllerClient("at 14 slow-state 3 10")
+    world, answers = client.world, []
     data = body()
 
     async def submit():
@@ -126,51 +128,51 @@
 
 
 def test_creations_of_a_dropped_incarnation_fail_at_once():
-    asked = AskedAlone("")
-    node, answers = asked.world.nodes[0], []
+    client = FirstControllerClient("")
+    node, answers = client.world.nodes[0], []
 
     async def submit():
-        answers.append((await node.api._submit(body()), asked.world.sim.time))
+        answers.append((await node.api._submit(body()), client.world.sim.time))
 
-    asked.world.state.down = True
-    asked.world.sim.spawn(submit(), "submit")
-    asked.world.sim.run_until(15.5)
+    client.world.state.down = True
+    client.world.sim.spawn(submit(), "submit")
+    client.world.sim.run_until(15.5)
     node.member._lose()
-    asked.world.sim.run_until(15.6)
+    client.world.sim.run_until(15.6)
     assert [answer.status for answer, _ in answers] == [503]
-    assert asked.count(RequestKind.SUBMISSION, Cause.NOT_A_MEMBER) == 1
+    assert client.count(RequestKind.SUBMISSION, Cause.NOT_A_MEMBER) == 1
 
 
 def test_a_poll_waits_while_leases_and_starts_need_the_requests(monkeypatch):
-    asked, real, left = AskedAlone("until 30"), StateClient.get, []
-    asked.world.sim.run_until(30)
-    requests = asked.world.nodes[0].state.requests
+    client, real, has_spare_requests = FirstControllerClient("until 30"), StateClient.get, []
+    client.world.sim.run_until(30)
+    requests = client.world.nodes[0].state.requests
 
     async def get(self, key):
-        left.append(requests.spare(RESERVED))
+        has_spare_requests.append(requests.spare(RESERVED))
         return await real(self, key)
 
     monkeypatch.setattr(StateClient, "get", get)
     requests.empty()
-    assert asked.ask(0, "GET", "/v1/jobs/req-000001")[0] == 200
-    assert left and all(left)
-    assert asked.took_s < 0.5
+    assert client.ask(0, "GET", "/v1/jobs/req-000001")[0] == 200
+    assert has_spare_requests and all(has_spare_requests)
+    assert client.took_s < 0.5
 
 
-def test_a_poll_that_waits_in_vain_is_refused_and_read_no_more(monkeypatch):
-    asked = AskedAlone("until 30")
-    asked.world.sim.run_until(30)
-    node = asked.world.nodes[0]
+def test_a_poll_that_times_out_is_refused_and_its_read_dropped(monkeypatch):
+    client = FirstControllerClient("until 30")
+    client.world.sim.run_until(30)
+    node = client.world.nodes[0]
     monkeypatch.setattr(node.state.requests, "spare", lambda share: False)
-    job_of_nobody = "req-700001"  # no other user asks about it
-    assert asked.ask(0, "GET", f"/v1/jobs/{job_of_nobody}")[0] == 503
-    assert asked.count(RequestKind.POLL, Cause.READ_SLOW) >= 1
+    job_of_nobody = "req-700001"  # no user queries it
+    assert client.ask(0, "GET", f"/v1/jobs/{job_of_nobody}")[0] == 503
+    assert client.count(RequestKind.POLL, Cause.READ_SLOW) >= 1
     assert job_of_nobody not in node.record_reader._waiting
 
 
-def test_a_cancellation_reads_what_came_of_a_lost_answer(monkeypatch):
-    """Also when the answer to the read before is lost."""
-    asked, real, lost = AskedAlone(""), StateClient.get, []
+def test_a_cancellation_reads_the_outcome_after_a_lost_answer(monkeypatch):
+    """The answer to its first read of the record is lost."""
+    client, real, lost = FirstControllerClient(""), StateClient.get, []
 
     async def get(self, key):
         if key == "j/req-000001" and not lost:
@@ -179,19 +181,19 @@
         return await real(self, key)
 
     monkeypatch.setattr(StateClient, "get", get)
-    status, answer, _ = asked.ask(0, "POST", "/v1/jobs/req-000001/cancel")
+    status, answer, _ = client.ask(0, "POST", "/v1/jobs/req-000001/cancel")
     assert lost and (status, answer["status"]) == (200, "cancelled")
 
 
-def test_a_cancellation_against_a_record_that_always_changes_ends(monkeypatch):
-    asked = AskedAlone("")
+def test_a_cancellation_of_a_record_that_keeps_changing_is_refused(monkeypatch):
+    client = FirstControllerClient("")
 
     async def multi(self, conditions, writes):
         raise ConflictError([conditions[0][0]])
 
     monkeypatch.setattr(StateClient, "multi", multi)
-    assert asked.ask(0, "POST", "/v1/jobs/req-000001/cancel")[0] == 503
-    assert asked.count(RequestKind.CANCELLATION, Cause.CONFLICTS) == 1
+    assert client.ask(0, "POST", "/v1/jobs/req-000001/cancel")[0] == 503
+    assert client.count(RequestKind.CANCELLATION, Cause.CONFLICTS) == 1
 
 
 def test_world_counts_refusals_by_cause():
@@ -199,27 +201,27 @@
     assert world.counter(counter_of(RequestKind.CANCELLATION, Cause.STATE_UNAVAILABLE)) > 0
 
 
-def test_cancellations_that_come_together_share_writes_and_let_creations_through():
-    """Ninety at three controllers in a moment, and a submission behind them."""
-    asked = AskedAlone("write_rps 30\nat 2 submit count=90 legs=1 runS=500\nuntil 40")
-    world, users = asked.world, list(asked.world.users.values())
+def test_concurrent_cancellations_share_writes_and_do_not_delay_creations():
+    """90 cancellations arrive at three controllers at once, followed by a submission."""
+    client = FirstControllerClient("write_rps 30\nat 2 submit count=90 legs=1 runS=500\nuntil 40")
+    world, users = client.world, list(client.world.users.values())
     for user in users[3:]:
         world.user_loop.spawn(user.cancel(), "cancel")
     world.sim.run_until(40.1)
-    assert asked.submit_at(40.1)[0] == 201
-    assert asked.took_s < 0.5
+    assert client.submit_at(40.1)[0] == 201
+    assert client.took_s < 0.5
     world.sim.run_until(80)
     assert {user.last_state for user in users[3:]} == {"cancelled"}
     assert world.violations == []
 
 
-def test_one_changed_record_does_not_hold_up_those_cancelled_with_it(monkeypatch):
-    asked = AskedAlone("at 2 submit count=6 legs=1 runS=500\nuntil 30")
-    world, real, sent = asked.world, StateClient.multi, []
+def test_one_changed_record_does_not_delay_the_others_cancelled_with_it(monkeypatch):
+    client = FirstControllerClient("at 2 submit count=6 legs=1 runS=500\nuntil 30")
+    world, real, conditions_sent = client.world, StateClient.multi, []
 
     async def multi(self, conditions, writes):
-        sent.append([key for key, _stamp in conditions])
-        if len(conditions) > 1 and conditions[0][0].startswith("j/") and len(sent) == 1:
+        conditions_sent.append([key for key, _stamp in conditions])
+        if len(conditions) > 1 and conditions[0][0].startswith("j/") and len(conditions_sent) == 1:
             raise ConflictError([conditions[0][0]])
         return await real(self, conditions, writes)
 
@@ -234,4 +236,4 @@
         world.sim.spawn(cancel(f"req-{number:06d}"), "cancel")
     world.sim.run_until(34)
     assert [answer.status for answer in answers] == [200] * 6
-    assert len(sent[0]) > 1  # they went together
+    assert len(conditions_sent[0]) > 1  # they were written in one transaction
