--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -61,7 +61,7 @@
 
 
 def client_of_restarted_controller(text=""):
-    """Returns a client of a world in which controller 0 restarts at 20 s and joins in under 1 s."""
+    """Returns a client; its controller 0 restarts at 20 s and needs some tenths of a second to join."""
     return FirstControllerClient(f"at 15 crash 0 5\nat 19.9 slow-state 0.1 1\n{text}")
 
 
