--- a/tests/test_cancel_and_move.py
+++ b/tests/test_cancel_and_move.py
@@ -76,9 +76,9 @@
 class ReliefWorld(World):
     """A world in which controller 0 is relieved because workers can't reach it, and doesn't learn of it.
 
-    When the relief is committed, workers reach it again, and it is cut off from the state service and its
-    peers. Jobs are submitted, and then machines boot. `faults` lists further faults as (seconds after the
-    relief, scenario line).
+    When the term that relieves it is committed, workers reach it again, and it is cut off from the state
+    service and its peers. Jobs are submitted, and then machines boot. `faults` lists further faults as
+    (seconds after that commit, scenario line).
     """
 
     def __init__(self, seed, faults=()):
@@ -117,7 +117,7 @@
     ids=["dropped-7", "dropped-12", "heirs-restart-2", "heirs-restart-12"],
 )
 def test_machines_that_a_relieved_controller_hears_first_are_waited_for(seed, faults):
-    """Safety 3: until it learns of the relief or is dropped, its successors are not reconciled."""
+    """Safety 3: until it learns that it is relieved or is dropped, its successors are not reconciled."""
     world = ReliefWorld(seed, faults).run()
     assert world.relieved_at is not None
     assert world.check() == []
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -157,8 +157,8 @@
     for combination in itertools.islice(itertools.cycle(generate()), first, first + MAX_CASES):
         with pytest.MonkeyPatch.context() as patch:
             mutate(patch)
-            noticed = fault_combinations.played(combination).faults
-        if noticed:
+            detected = fault_combinations.played(combination).faults
+        if detected:
             assert fault_combinations.played(combination).faults == []
             return
-    raise AssertionError(f"not noticed: {mutate.__doc__}")
+    raise AssertionError(f"not detected: {mutate.__doc__}")
--- a/tests/test_limits_and_failover.py
+++ b/tests/test_limits_and_failover.py
@@ -211,10 +211,10 @@
     for seed in range(1, 21):
         with pytest.MonkeyPatch.context() as patch:
             mutate(patch)
-            noticed = World(f"{text}until 260\nseed {seed}\n").run().violations
-        if any("quota" in violation for violation in noticed):
+            detected = World(f"{text}until 260\nseed {seed}\n").run().violations
+        if any("quota" in violation for violation in detected):
             world = World(f"{text}until 900\nseed {seed}\nexpect rules\n").run()
             assert world.check() == []
             assert all(user.last_state in ("done", "cancelled") for user in world.users.values())
             return
-    raise AssertionError(f"not noticed: {mutate.__doc__}")
+    raise AssertionError(f"not detected: {mutate.__doc__}")
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -118,7 +118,7 @@
         if play(fault, prepare=without_conditions(is_removed)).faults:
             assert play(fault).faults == ()
             return
-    raise AssertionError(f"not noticed: {is_removed.__doc__}")
+    raise AssertionError(f"not detected: {is_removed.__doc__}")
 
 
 def test_a_member_entry_without_its_stamp_drops_a_live_member():
@@ -281,11 +281,11 @@
         fault = Fault(kind, nth, 0.0, sender, reset=True)
         with pytest.MonkeyPatch.context() as patch:
             mutate(patch)
-            noticed = play(fault, text).faults
-        if noticed:
+            detected = play(fault, text).faults
+        if detected:
             assert play(fault, text).faults == ()
             return
-    raise AssertionError(f"not noticed: {mutate.__doc__}")
+    raise AssertionError(f"not detected: {mutate.__doc__}")
 
 
 def test_archiving_in_two_transactions_is_detected():
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -115,10 +115,10 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(changes, st.randoms(use_true_random=False))
-def test_each_shard_has_a_leader_and_tokens_only_grow_under_any_changes(drawn, rng):
+def test_each_shard_has_a_leader_and_tokens_only_grow_under_any_changes(steps, rng):
     machines = {shard: rng.randrange(0, 30) for shard in range(SHARD_COUNT)}
     term = Term().join("ctl-0", "nonce")
-    for how, number, shard in drawn:
+    for how, number, shard in steps:
         label, before = LABELS[number], term
         if how == "join":
             term = term.join(label, str(rng.random()))
@@ -173,9 +173,11 @@
     )
     assert [task.status for task in machine.tasks.values()] == [LAUNCHING]
     leader.task_commands.on_sync("heir", 2, frames.ReconcileRequest(1, 1, ["req-9"], []))
-    told = [type(frame) for label, frame in sent if label == "heir"]
+    sent_types = [type(frame) for label, frame in sent if label == "heir"]
     rows = [row for _label, frame in sent if isinstance(frame, frames.TaskStates) for row in frame.rows]
-    assert told == [frames.TaskStates, frames.ReconcileDone] and rows == [("req-9", 0, 77, LAUNCHING, "")]
+    assert sent_types == [frames.TaskStates, frames.ReconcileDone] and rows == [
+        ("req-9", 0, 77, LAUNCHING, "")
+    ]
 
 
 def test_two_successors_that_request_a_job_are_each_sent_its_tasks_before_the_end_of_the_answer():
@@ -192,9 +194,12 @@
     assert sent == []
     leader.report_processor.answer(report(0, 2))
     for label in ("heir", "other"):
-        told = [frame for to, frame in sent if to == label]
-        assert [type(frame) for frame in told] == [frames.TaskStates, frames.ReconcileDone]
-        assert [row[:4] for row in told[0].rows] == [("req-0", 0, 1, "running"), ("req-0", 1, 1, "running")]
+        received = [frame for to, frame in sent if to == label]
+        assert [type(frame) for frame in received] == [frames.TaskStates, frames.ReconcileDone]
+        assert [row[:4] for row in received[0].rows] == [
+            ("req-0", 0, 1, "running"),
+            ("req-0", 1, 1, "running"),
+        ]
 
 
 def test_a_claim_of_an_owner_that_ended_does_not_take_a_task_from_its_successor():
@@ -399,7 +404,8 @@
 def test_booting_machines_of_a_relieved_leader_are_waited_for():
     """Safety 3: a relieved leader that doesn't know of it still serves, and may be the first to hear them.
 
-    They are waited for until a machine list that was requested late enough after it learned of the relief."""
+    They are waited for until a machine list that was requested late enough after it learned
+    that it is relieved."""
     term = Term().join("ctl-0", "a").join("ctl-1", "b")
     relieved = term.relieve("ctl-1")
     for unaware in (False, True):
@@ -418,20 +424,21 @@
 
 
 def test_which_controllers_may_not_know_that_they_are_relieved():
-    """Safety 3: for each way in which another controller learns of the relief and of its end."""
+    """Safety 3: for each way in which another controller learns that one is or is no longer relieved."""
     term = Term().join("ctl-0", "a").join("ctl-1", "b").join("ctl-2", "c")
     relieved = term.relieve("ctl-1")
-    relief = RelievedControllers("ctl-0")
-    relief.on_term(term, relieved)
-    assert relief.labels() == ["ctl-1"]
-    relief.on_term(relieved, relieved.join("ctl-1", "d"))  # a new process replaced it
-    assert relief.labels() == []
-    relief.begin(relieved)  # after a restart it is unknown since when ctl-1 is relieved
-    assert relief.labels() == ["ctl-1"]
-    relief.on_term(relieved, relieved.drop({"ctl-1"}))
-    assert relief.labels() == []
-    relief.on_term(relieved, relieved.join("ctl-2", "e").drop({"ctl-2"}))  # two terms were missed
-    assert relief.labels() == ["ctl-1"]
+    relieved_controllers = RelievedControllers("ctl-0")
+    relieved_controllers.on_term(term, relieved)
+    assert relieved_controllers.labels() == ["ctl-1"]
+    relieved_controllers.on_term(relieved, relieved.join("ctl-1", "d"))  # a new process replaced it
+    assert relieved_controllers.labels() == []
+    relieved_controllers.begin(relieved)  # after a restart it is unknown since when ctl-1 is relieved
+    assert relieved_controllers.labels() == ["ctl-1"]
+    relieved_controllers.on_term(relieved, relieved.drop({"ctl-1"}))
+    assert relieved_controllers.labels() == []
+    # Two terms were missed.
+    relieved_controllers.on_term(relieved, relieved.join("ctl-2", "e").drop({"ctl-2"}))
+    assert relieved_controllers.labels() == ["ctl-1"]
     own = RelievedControllers("ctl-1")
     own.on_term(term, relieved)
     assert own.labels() == []
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -67,6 +67,7 @@
 
 
 def pipelines(at, first):
+    """Returns the lines of a pipeline submitted at `at`, whose first job has the number `first`."""
     return PIPELINES.format(at=at, first=first, second=first + 1, third=first + 2)
 
 
