--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants: records and decisions alone, then through gateways and controllers in virtual time."""
+"""Tenants: records, rates and fair sharing in isolation, then all of it through gateways and controllers."""
 
 import json
 import random
@@ -31,12 +31,12 @@
 from roadhead.wire.http import Client
 
 fixed = settings(derandomize=True, database=None, max_examples=100, deadline=None)
-own_ids = st.text(ids.ALPHABET, min_size=1, max_size=ids.LONGEST)
+tenant_job_ids = st.text(ids.ALPHABET, min_size=1, max_size=ids.LONGEST)
 
 
 @fixed
-@given(st.integers(0, ids.MOST_TENANTS), own_ids, own_ids)
-def test_ids_are_one_to_one(number, first, second):
+@given(st.integers(0, ids.MOST_TENANTS), tenant_job_ids, tenant_job_ids)
+def test_tenant_job_ids_map_one_to_one_to_service_ids(number, first, second):
     job = ids.to_job(number, first)
     assert ids.from_job(job) == (number, first)
     assert len(job) == 34 and job[4:].isdigit()
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("bad", ["", "A", "a b", "a" * 16, "req/1", "ä"])
-def test_ids_that_can_not_be(bad):
+def test_invalid_ids_are_rejected(bad):
     with pytest.raises(ValueError):
         ids.to_job(1, bad)
     assert ids.from_job("req-000412") is None
@@ -68,32 +68,32 @@
         {"name": "-x"},
     ],
 )
-def test_records_that_contradict_themselves(change):
+def test_inconsistent_tenant_records_are_rejected(change):
     with pytest.raises(records.InvalidTenantError):
         records.Tenant(**{"number": 1, "name": "kestrel", **change}).check()
 
 
 def test_transitions():
     active = tenant(keys=[records.Key(1, "d", ["read"])])
-    resting = records.transition(active, "suspend", "k", running="stop")
-    assert (resting.state, resting.running, resting.version) == ("suspended", "stop", 2)
-    assert records.transition(resting, "suspend", running="stop") is resting
-    going = records.transition(resting, "remove")
-    assert going.state == "removing" and going.keys == []
-    assert records.transition(going, "resume") is None and records.transition(active, "bury") is None
-    gone = records.transition(going, "bury")
-    assert gone.to_record() == {
+    suspended = records.transition(active, "suspend", "k", running="stop")
+    assert (suspended.state, suspended.running, suspended.version) == ("suspended", "stop", 2)
+    assert records.transition(suspended, "suspend", running="stop") is suspended
+    removing = records.transition(suspended, "remove")
+    assert removing.state == "removing" and removing.keys == []
+    assert records.transition(removing, "resume") is None and records.transition(active, "bury") is None
+    removed = records.transition(removing, "bury")
+    assert removed.to_record() == {
         "number": 1,
         "name": "kestrel",
         "state": "removed",
         "version": 4,
         "limits": {},
     }
-    assert records.from_record(gone.to_record()) == gone
+    assert records.from_record(removed.to_record()) == removed
     assert records.from_record({**active.to_record(), "colour": "red"}) == active
 
 
-def test_keys_are_kept_as_digests_and_signatures_end():
+def test_keys_are_stored_as_digests_and_signatures_expire():
     keys = Secrets(b"m" * 32)
     text, digest = keys.new_key(7, 3, "again")
     assert keys.new_key(7, 3, "again") == (text, digest) != keys.new_key(7, 4, "again")
@@ -113,7 +113,7 @@
         assert not keys.signed(value, "POST", "/v1/jobs", body, now)
 
 
-def test_rates_hold_and_say_when_to_come_back():
+def test_submission_rates_are_limited_with_a_retry_time():
     sim = Sim(1)
     rates = admission.Rates(sim)
     slow = tenant(limits=records.Limits(submissions=0.5))
@@ -127,7 +127,7 @@
     assert len(rates._buckets) == admission.KEPT_MOST
 
 
-def test_one_tenant_never_takes_all_creations():
+def test_one_tenant_cannot_use_all_creations():
     assert [admission.creation_refusal(count, 8, False) is None for count in (0, 1, 2)] == [True, True, False]
     assert [admission.creation_refusal(count, 8, True) is None for count in (2, 3, 4)] == [True, True, False]
     assert (
@@ -211,7 +211,7 @@
         ('secret_file = "secret"', 'secret_file = "secret"\nsecret_file = "other"'),
     ],
 )
-def test_bad_hosted_files_are_one_plain_line_each(old, new, tmp_path):
+def test_invalid_hosted_files_give_one_line_per_fault(old, new, tmp_path):
     with pytest.raises(SettingsError) as error:
         hosted_settings.parse(HOSTED.replace(old, new, 1).encode())
     assert all("\n" not in fault for fault in error.value.faults)
@@ -222,11 +222,11 @@
         hosted_settings.load(str(file))
 
 
-# Sharing
+# Fair sharing between tenants and teams
 
 
-class Waiting:
-    """A job as the sharing sees it."""
+class WaitingJob:
+    """Stub of a waiting job: what `FairShare` reads and sets."""
 
     def __init__(self, team, count, need=(1.0, 0.0, 2.0)):
         self.spec = self
@@ -238,8 +238,11 @@
         return self.count
 
 
-def sharing_of(teams, held):
-    """`teams`: {tenant: (weight, {team: guarantee})}; `held`: {team in the service: cpus}."""
+def make_fair_share(teams, held):
+    """Returns a FairShare and its accounts.
+
+    `teams`: {tenant: (weight, {team: guaranteed CPUs})}; `held`: {service-wide team name: CPUs in use}.
+    """
     table = TenantTable()
     for number, (weight, own) in teams.items():
         record = records.Tenant(
@@ -256,16 +259,16 @@
     return FairShare(TenantTeams(table), accounts, lambda: (100.0, 0.0, 400.0), 1e6, 1e7), accounts
 
 
-def test_work_within_a_guarantee_comes_before_what_borrows():
-    fair_share, _ = sharing_of({1: (1.0, {"a": 10}), 2: (1.0, {"b": 0})}, {"1/a": 7.0})
-    sure, borrows = Waiting("1/a", 8), Waiting("2/b", 8)
-    fair_share.assign_positions([borrows, sure])
-    assert (sure.within_guarantee, sure.round_allowance, sure.queue_position) == (
+def test_work_within_a_guarantee_precedes_borrowing_work():
+    fair_share, _ = make_fair_share({1: (1.0, {"a": 10}), 2: (1.0, {"b": 0})}, {"1/a": 7.0})
+    guaranteed, borrowing = WaitingJob("1/a", 8), WaitingJob("2/b", 8)
+    fair_share.assign_positions([borrowing, guaranteed])
+    assert (guaranteed.within_guarantee, guaranteed.round_allowance, guaranteed.queue_position) == (
         3,
         3,
         5.0,
-    ) and sure.borrowed_position >= 1e6
-    assert (borrows.within_guarantee, borrows.queue_position) == (0, 1e6)
+    ) and guaranteed.borrowed_position >= 1e6
+    assert (borrowing.within_guarantee, borrowing.queue_position) == (0, 1e6)
 
 
 @fixed
@@ -274,15 +277,15 @@
     st.integers(20, 300),
     st.integers(0, 1000),
 )
-def test_borrowed_room_comes_to_be_shared_by_weight(weights, room, seed):
-    """Progressive filling: whoever may go ahead by at most a quantum ends within one of its share."""
+def test_borrowed_capacity_converges_to_weighted_shares(weights, room, seed):
+    """Progressive filling: a tenant exceeds its share by a quantum at most, so it ends within one of it."""
     held = dict.fromkeys((f"{number}/x" for number in weights), 0.0)
     rng = random.Random(seed)
     room = min(room, 100)
     for _ in range(room * 2):
         teams = {number: (weight, {"x": 0}) for number, weight in weights.items()}
-        fair_share, _ = sharing_of(teams, held)
-        jobs = [Waiting(name, 10_000) for name in held]
+        fair_share, _ = make_fair_share(teams, held)
+        jobs = [WaitingJob(name, 10_000) for name in held]
         rng.shuffle(jobs)
         fair_share.assign_positions(jobs)
         first = min(jobs, key=lambda job: job.queue_position)
@@ -301,11 +304,11 @@
     assert dominant_share((1.0, 1.0, 0.0), (100.0, 0.0, 400.0)) == 1.0
 
 
-# Through gateways and controllers
+# Through gateways and controllers in virtual time
 
 
-class Calls:
-    """Requests to a gateway from within a virtual deployment, one after another."""
+class GatewayClient:
+    """Sends requests to a gateway of a simulated deployment, one after another."""
 
     def __init__(self, text="", seed=1):
         self.world = World(f"gateways 2\nseed {seed}\n{text}\nuntil 100000")
@@ -325,7 +328,7 @@
             if routine.done.done:
                 return routine.done.result()
             self.world.sim.run_until(self.world.sim.time + 0.01)
-        raise AssertionError("no end")
+        raise AssertionError("the request did not finish within 40 s of virtual time")
 
     def admin(self, method, path, body=None, key=None, **headers):
         headers = [(name.replace("_", "-"), value) for name, value in headers.items()]
@@ -335,8 +338,8 @@
         self.world.sim.run_until(self.world.sim.time + seconds)
 
 
-def test_administration_from_creation_to_the_tombstone():
-    call = Calls()
+def test_administration_from_creation_to_removal():
+    call = GatewayClient()
     new = {"name": "kestrel", "teams": [{"name": "crew", "cpus": 2}], "limits": {"cpus": 8}}
     status, made = call.admin("POST", "tenants", new, Idempotency_Key="one")
     assert (status, made["state"], made["number"], made["version"]) == (201, "active", 1, 1)
@@ -375,8 +378,8 @@
         validate(document[1])
 
 
-def test_keys_are_made_rotated_and_revoked_everywhere():
-    call = Calls()
+def test_keys_are_created_rotated_and_revoked_on_all_gateways():
+    call = GatewayClient()
     call.admin("POST", "tenants", {"name": "kestrel", "teams": [{"name": "crew"}]})
     status, first = call.admin("POST", "tenants/kestrel/keys", {"scopes": ["read"]}, Idempotency_Key="a")
     assert status == 201
@@ -398,7 +401,7 @@
     revoked = call("tenants", "GET", "/v1/jobs", key=second["key"])
     unknown = call("tenants", "GET", "/v1/jobs", key="rh-4711-1-" + "0" * 48)
     assert over == revoked == unknown == call("tenants", "GET", "/v1/jobs", key="") and over[0] == 401
-    # A tenant's key is unknown to the administration, an administrator's to the tenants' API.
+    # A tenant's key is invalid for the administration API, and an administrator's key for the tenants' API.
     assert call.admin("GET", "tenants", key=first["key"])[0] == 401
     status, admin = call.admin("POST", "administrators/keys", {"scopes": ["tenants:read"]})
     assert status == 201
@@ -410,33 +413,34 @@
     assert not any(key["key"].rpartition("-")[2] in stored for key in (first, second, admin))
 
 
-def test_what_a_gateway_can_not_know_it_refuses():
-    call = Calls()
+def test_a_gateway_with_stale_tenant_records_answers_503():
+    call = GatewayClient()
     call.finish(call.tenancy.do("tenant", "kestrel", "team=crew"))
     call.wait(2)
     key = call.tenancy.keys["kestrel"]
     for host in ("10.3.0.1", "10.3.0.2"):
         call.world.state.refuse(host, 1e9)
-    assert call("tenants", "GET", "/v1/jobs/x", key=key)[0] == 404  # by the controllers, for a while
+    # The tenant records are still fresh enough, and the controllers answer.
+    assert call("tenants", "GET", "/v1/jobs/x", key=key)[0] == 404
     call.wait(25)
     assert call("tenants", "GET", "/v1/jobs/x", key=key)[0] == 503
     call.world.state.refused_until.clear()
-    call.wait(12)  # a watch opened meanwhile waits its time out
+    call.wait(12)  # a watch opened during the refusal must time out first
     assert call("tenants", "GET", "/v1/jobs/x", key=key)[0] == 404
 
 
-def test_controllers_take_requests_of_gateways_only():
-    call = Calls()
+def test_controllers_accept_requests_of_gateways_only():
+    call = GatewayClient()
     for path in ("/v1/jobs/req-000001", "/v1/summary", "/v1/tenants/1"):
-        status, _data, _headers = call.finish(_plain(call.world, path))
+        status, _data, _headers = call.finish(_unsigned_request(call.world, path))
         assert status == 401
 
 
-async def _plain(world, path):
+async def _unsigned_request(world, path):
     return await Client(world.user_loop, world.user_net, world.fronts[0], 0).request("GET", path)
 
 
-# One tenant sees nothing of another
+# Isolation: a tenant's answers do not depend on other tenants
 
 STEPS = st.lists(
     st.tuples(
@@ -449,9 +453,12 @@
 )
 
 
-def seen(steps, others):
-    """What the first tenant is answered at each of its steps, with or without the other one."""
-    call = Calls("capacity 12\nboot_s 3")
+def first_tenant_answers(steps, others):
+    """The first tenant's answers at each of its steps.
+
+    `others`: the steps of a second tenant, or None without one.
+    """
+    call = GatewayClient("capacity 12\nboot_s 3")
     call.finish(call.tenancy.do("tenant", "kestrel", "team=crew:cpus=8"))
     if others is not None:
         call.finish(call.tenancy.do("tenant", "laenuvara", "team=crew", "team=secretteam"))
@@ -459,14 +466,14 @@
     answers = []
     for number, step in enumerate(steps):
         if others is not None:
-            _do(call, "laenuvara", others[number % len(others)], "secretteam")
-        answers.append(_do(call, "kestrel", step, "crew"))
-        # At the same times in both worlds, whatever was asked besides.
+            _run_step(call, "laenuvara", others[number % len(others)], "secretteam")
+        answers.append(_run_step(call, "kestrel", step, "crew"))
+        # The same times in both worlds, however long the second tenant's requests took.
         call.world.sim.run_until(20.0 + 3 * (number + 1))
     return answers
 
 
-def _do(call, name, step, team):
+def _run_step(call, name, step, team):
     verb, own, tasks = step
     key = call.tenancy.keys[name]
     if verb == "submit":
@@ -487,8 +494,8 @@
     return call("tenants", "GET", path, None, key)
 
 
-def _without_progress(answer):
-    """What does not hang on when machines come up: that is chance in both worlds."""
+def _without_timing(answer):
+    """The answer without what depends on when machines boot, which varies between the two worlds."""
     text = json.dumps(answer)
     assert "secretteam" not in text and "laenuvara" not in text
     status, body = answer
@@ -505,13 +512,13 @@
     derandomize=True, database=None, max_examples=6, deadline=None, suppress_health_check=list(HealthCheck)
 )
 @given(STEPS, STEPS)
-def test_a_tenant_sees_the_same_whether_or_not_another_exists(steps, others):
-    alone = [_without_progress(answer) for answer in seen(steps, None)]
-    beside = [_without_progress(answer) for answer in seen(steps, others)]
+def test_a_tenant_gets_the_same_answers_whether_or_not_another_exists(steps, others):
+    alone = [_without_timing(answer) for answer in first_tenant_answers(steps, None)]
+    beside = [_without_timing(answer) for answer in first_tenant_answers(steps, others)]
     assert alone == beside
 
 
-# A tenant goes, whoever carries that out
+# Removal of a tenant survives the end of the controller that carries it out
 
 REMOVAL = """
 capacity 6
@@ -527,15 +534,15 @@
 
 
 @pytest.mark.parametrize("step", range(1, 8))
-def test_a_removal_is_finished_by_whoever_survives(step):
-    """Whoever takes the step ends right after it, once for each of the steps."""
+def test_a_removal_is_finished_by_another_controller(step):
+    """The controller that runs the removal crashes right after its nth step; another one must finish it."""
     world = World(REMOVAL)
     taken = 0
     with pytest.MonkeyPatch.context() as patch:
         for name in ("_cancel", "_drop", "_bury"):
             real = getattr(Removal, name)
 
-            async def stepping(self, *args, real=real):
+            async def crash_after_step(self, *args, real=real):
                 nonlocal taken
                 spent = await real(self, *args)
                 taken += 1
@@ -544,7 +551,7 @@
                     world.sim.call_soon(world.crash, number, 12.0)
                 return spent
 
-            patch.setattr(Removal, name, stepping)
+            patch.setattr(Removal, name, crash_after_step)
         world.run()
     assert taken >= step
     assert world.violations == []
@@ -566,8 +573,9 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_no_job_is_created_after_admission_ended_however_late_its_write(guarded):
-    """Without the record's stamp among its conditions, a late creation outlives its tenant."""
+def test_no_job_is_created_after_its_tenant_was_removed_by_a_late_write(guarded):
+    """A creation is conditional on the revision of the tenant's record. Without that condition a creation
+    that is applied late leaves a job behind after its tenant was removed."""
     left = []
     for seed in range(1, 9):
         world = World(f"{LATE}\nseed {seed}")
@@ -581,7 +589,7 @@
     assert any(left) != guarded
 
 
-def test_a_suspended_tenant_starts_nothing_and_its_stopped_work_goes_on_later():
+def test_a_suspended_tenant_starts_nothing_and_its_work_resumes_later():
     world = World("""
 gateways 1
 capacity 6
@@ -601,7 +609,7 @@
     assert started == []
 
 
-# One tenant floods, the other is on time
+# A flood of one tenant does not delay another
 
 QUIET = """
 gateways 2
@@ -618,8 +626,9 @@
 """
 
 
-def on_time(text, seed):
-    """(p95 of the quiet tenant's deadline tasks' start, share of its jobs accepted within 1 s)."""
+def measure_quiet_tenant(text, seed):
+    """Of the quiet tenant: the p95 of its tasks' start delays and the share of its jobs accepted within 1 s;
+    of the loud one: how many tasks started."""
     world = World(f"{text}\nseed {seed}").run()
     assert world.violations == []
     quiet = [user for user in world.users.values() if user.tenant == "quiet"]
@@ -637,16 +646,18 @@
     return starts[int(0.95 * len(starts))], accepted / len(quiet), loud
 
 
-def test_a_flood_delays_nobody_else():
-    alone = [on_time(QUIET, seed) for seed in (1, 2)]
-    beside = [on_time(QUIET + FLOOD, seed) for seed in (1, 2)]
-    assert all(loud > 200 for _start, _accepted, loud in beside)  # it does run, in what is left
+def test_a_flood_does_not_delay_another_tenant():
+    alone = [measure_quiet_tenant(QUIET, seed) for seed in (1, 2)]
+    beside = [measure_quiet_tenant(QUIET + FLOOD, seed) for seed in (1, 2)]
+    assert all(
+        loud > 200 for _start, _accepted, loud in beside
+    )  # the flood does run, in the capacity that is left
     assert all(accepted >= 0.99 for _start, accepted, _loud in beside)
     assert sum(start for start, *_ in beside) <= 1.15 * sum(start for start, *_ in alone)
 
 
-def test_without_guarantees_a_flood_does_delay():
-    """What the test above rests on: were all work alike, the critical flood would come first."""
+def test_without_fair_sharing_a_flood_delays_another_tenant():
+    """Counter-test of the one above: without fair sharing, the critical flood runs first."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(
             FairShare,
@@ -656,13 +667,13 @@
                 for job in jobs
             ],
         )
-        assert on_time(QUIET + FLOOD, 1)[0] > 1.5 * on_time(QUIET, 1)[0]
+        assert measure_quiet_tenant(QUIET + FLOOD, 1)[0] > 1.5 * measure_quiet_tenant(QUIET, 1)[0]
 
 
-# Preemption alone
+# Preemption in isolation
 
 
-class Frames:
+class SentFrames:
     def __init__(self):
         self.sent = []
 
@@ -671,8 +682,11 @@
         return True
 
 
-def preemption_of(teams, running, patience=1.0):
-    """`running`: [(team, machine, cpus, seconds since its start, save_s or None)], one job each."""
+def make_preemption(teams, running, patience=1.0):
+    """Returns a Preemption, its job store, the frames it sends and its clock.
+
+    `running`: [(team, machine, cpus, seconds since its start, save_s or None)], one job each.
+    """
     table = TenantTable()
     for number, own in teams.items():
         record = records.Tenant(
@@ -720,7 +734,7 @@
         def stop(self, job, _index, binding):
             self.stopped.append((job.spec.team, binding.machine))
 
-    job_store, send = JobStore(), Frames()
+    job_store, send = JobStore(), SentFrames()
     job_store.stopped, job_store.accounts = [], accounts
     fair_share = FairShare(hosted, accounts, lambda: (100.0, 0.0, 400.0), 1e6, 1e7)
     member = type("Member", (), {"term": type("Term", (), {"members": ("here", "there")})})
@@ -738,8 +752,8 @@
     )
 
 
-def test_the_least_work_of_who_is_furthest_ahead_is_stopped():
-    preemption, job_store, _send, _sim = preemption_of(
+def test_the_cheapest_task_of_the_largest_borrower_is_stopped():
+    preemption, job_store, _send, _sim = make_preemption(
         {1: {"a": 0}, 2: {"b": 0}},
         [
             ("1/a", "m1", 1, 50, None),
@@ -749,15 +763,15 @@
         ],
     )
     reclaim(preemption, (1.0, 1, ""))
-    assert job_store.stopped == [("1/a", "m3")]  # it saves
+    assert job_store.stopped == [("1/a", "m3")]  # it saves its progress, so the least work is lost
     reclaim(preemption, (1.0, 1, ""))
     assert job_store.stopped[1:] == [("1/a", "m2")]  # the same task is not stopped twice
     reclaim(preemption, (1.0, 9, ""))
     assert sorted(job_store.stopped[2:]) == [("1/a", "m1"), ("2/b", "m4")]
 
 
-def test_nothing_within_a_guarantee_stops_and_no_room_too_small_is_made():
-    preemption, job_store, _send, _sim = preemption_of(
+def test_no_guaranteed_task_is_stopped_and_none_without_freeing_enough():
+    preemption, job_store, _send, _sim = make_preemption(
         {1: {"a": 3, "b": 0}},
         [
             ("1/a", "m1", 1, 5, None),
@@ -767,7 +781,7 @@
             ("1/b", "m3", 1, 5, None),
         ],
     )
-    reclaim(preemption, (2.0, 1, ""))  # two CPUs of one machine: only one is borrowed anywhere
+    reclaim(preemption, (2.0, 1, ""))  # needs two CPUs of one machine: no machine has more than one borrowed
     assert job_store.stopped == []
     reclaim(preemption, (1.0, 5, "elsewhere"))
     assert job_store.stopped == []
@@ -775,8 +789,8 @@
     assert len(job_store.stopped) == 2 and ("1/b", "m3") in job_store.stopped
 
 
-def test_room_is_asked_back_after_patience_once_and_of_who_borrows_most():
-    preemption, _job_store, send, sim = preemption_of({1: {"a": 8}}, [])
+def test_capacity_is_reclaimed_once_after_the_patience_from_the_largest_borrowers():
+    preemption, _job_store, send, sim = make_preemption({1: {"a": 8}}, [])
     preemption.on_borrowed("here", frames.BorrowedResources(2.0, 0.0, 8.0))
     preemption.on_borrowed("there", frames.BorrowedResources(3.0, 0.0, 9.0))
     waiting = Job(
@@ -808,13 +822,13 @@
     preemption.waits([waiting])
     assert [(label, frame.rows[0][3]) for label, frame in send.sent] == [("there", 3), ("here", 1)]
     preemption.waits([waiting])
-    assert len(send.sent) == 2  # it is on its way
+    assert len(send.sent) == 2  # the first request is still pending
     sim.time += 6.0
     preemption.waits([waiting])
     assert len(send.sent) == 4
 
 
-TAKEN_BACK = """
+RECLAIMED_GUARANTEE = """
 gateways 1
 capacity 4
 at 2 tenant borrower team=crew
@@ -826,22 +840,22 @@
 
 
 @pytest.mark.parametrize("preempt", [True, False])
-def test_a_guarantee_is_given_back_by_stopping_borrowed_work(preempt):
-    world = World(TAKEN_BACK + f"preempt {int(preempt)}\n").run()
+def test_a_guarantee_is_restored_by_preempting_borrowing_work(preempt):
+    world = World(RECLAIMED_GUARANTEE + f"preempt {int(preempt)}\n").run()
     assert world.violations == [] and world.failures.texts == []
     started = sorted(
         when - 40 for task, when in world.started.items() if world.job_of(task)["tenant"] == "owner"
     )
     assert len(started) == 16 if preempt else len(started) < 16
     if preempt:
-        assert started[-1] < 4  # save, exit, fetch
+        assert started[-1] < 4  # time to save, exit and fetch the image
         stopped = world.counter("tasks_preempted")
-        assert 8 <= stopped <= 20  # once each, no to and fro
+        assert 8 <= stopped <= 20  # about once per task: no task is stopped and restarted repeatedly
 
 
-def test_no_tenant_stands_still_for_the_takeover_of_another():
-    """The warden of one ends while half of the machines are silent, so its heir must wait for them; the
-    other's warden knows all that is its own and starts on."""
+def test_a_failover_of_one_tenants_quota_leader_does_not_stall_another_tenant():
+    """The quota leader of tenant `one` crashes while half of the machines are silent, so its successor must
+    wait for them. The quota leader of tenant `two` knows all of that tenant's tasks and goes on starting."""
     world = World("""
 gateways 1
 slots 3
@@ -875,12 +889,12 @@
     assert started["one"] == [] and len(started["two"]) > 5
 
 
-# The tenants' API: forms and bounds
+# The tenants' API: encodings and bounds
 
 
-def test_lists_are_paged_filtered_and_told_in_both_forms(caplog):
+def test_lists_are_paged_and_filtered_in_json_and_cbor(caplog):
     caplog.set_level("DEBUG")
-    call = Calls("capacity 6")
+    call = GatewayClient("capacity 6")
     call.finish(call.tenancy.do("tenant", "kestrel", "team=crew", "team=other"))
     call.wait(2)
     key = call.tenancy.keys["kestrel"]
@@ -943,16 +957,16 @@
         ("POST", "/v1/jobs", {"id": "a", "team": "none", "class": "c"}, 422),
     ],
 )
-def test_what_can_not_be_is_refused_at_once(method, path, body, status):
-    call = Calls()
+def test_invalid_requests_are_refused_at_once(method, path, body, status):
+    call = GatewayClient()
     call.finish(call.tenancy.do("tenant", "kestrel", "team=crew"))
     call.wait(2)
     answer = call("tenants", method, path, body, call.tenancy.keys["kestrel"])
     assert answer[0] == status and answer[1]["status"] == status
 
 
-def test_the_summary_says_that_a_tenant_rests():
-    """Not that its limit is reached: whoever looks in the morning would raise the wrong thing."""
+def test_the_summary_says_that_a_tenant_is_suspended():
+    """It must not say that the limit is reached: an operator would raise the limit, which does not help."""
     world = World("""
 gateways 1
 at 2 tenant one team=crew:cpus_max=4
