--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -1,5 +1,5 @@
-"""Jobs that need others: the graph against a simple model, what is inherited, what it costs, and the
-guards, each taken out once on purpose."""
+"""Jobs with upstream jobs: the dependency index against a reference model, inherited priorities and
+deadlines, the cost of waiting jobs, and mutations: each guard is disabled once and a check must notice it."""
 
 import math
 from pathlib import Path
@@ -54,7 +54,7 @@
 
 
 class Model:
-    """The graph, thought of afresh each time: what a job may do follows from the ends of all before it."""
+    """Reference model: computes a job's state anew from how all its ancestors ended, without any cache."""
 
     def __init__(self):
         self.upstream, self.ends = {}, {}
@@ -72,72 +72,74 @@
 @given(
     st.lists(st.tuples(st.lists(st.integers(1, 12), max_size=4), st.integers(0, 9)), min_size=1, max_size=40)
 )
-def test_what_waits_is_what_a_simple_model_says(drawn):
-    """Jobs come and end in any order, through `DependencyIndex` with its consequences drawn as an owner
-    does."""
-    model, waits, ended, free, jobs = Model(), DependencyIndex(), {}, set(), []
+def test_the_dependency_index_agrees_with_a_reference_model(drawn):
+    """Jobs arrive and end in any order; like an owner, the test feeds the cancellations that
+    `DependencyIndex` returns back into it."""
+    model, index, ended, startable, jobs = Model(), DependencyIndex(), {}, set(), []
 
     def end(name, state):
         todo = [(name, state)]
         while todo:
             name, state = todo.pop()
             ended[name] = state
-            started, cancelled = waits.on_job_ended(name, state)
-            free.update(job.id for job in started)
+            started, cancelled = index.on_job_ended(name, state)
+            startable.update(job.id for job in started)
             todo += [(job.id, CANCELLED) for job in cancelled]
 
-    for backs, action in drawn:
+    for offsets, action in drawn:
         if action < 6 or not jobs:
             number = len(jobs) + 1
-            job = Job(spec(number, {number - back for back in backs if back < number}), ("a", 1), 0.0)
+            job = Job(spec(number, {number - offset for offset in offsets if offset < number}), ("a", 1), 0.0)
             jobs.append(job)
             model.upstream[job.id] = job.spec.upstream or []
-            outcome = waits.add(job, ended.get) if job.is_waiting else DONE
+            outcome = index.add(job, ended.get) if job.is_waiting else DONE
             if outcome == DONE:
-                free.add(job.id)
+                startable.add(job.id)
             elif outcome == CANCELLED:
                 end(job.id, CANCELLED)
         else:
-            job = jobs[(sum(backs) * 7 + action) % len(jobs)]
+            job = jobs[(sum(offsets) * 7 + action) % len(jobs)]
             if ended.get(job.id) is None:
-                state = DONE if job.id in free and action < 9 else CANCELLED
+                state = DONE if job.id in startable and action < 9 else CANCELLED
                 model.ends[job.id] = state
-                if waits.jobs.get(job.id) is job:
-                    waits.remove(job)
+                if index.jobs.get(job.id) is job:
+                    index.remove(job)
                 end(job.id, state)
         for job in jobs:
             assert (ended.get(job.id) == CANCELLED) == model.cancelled(job.id)
             if ended.get(job.id) is None:
-                assert (job.id in free) == model.may_start(job.id)
-                assert (job.id in waits.jobs) == (job.id not in free)
-    assert sum(waits.by_class.values()) == len(waits.jobs) == sum(waits.by_team.values())
+                assert (job.id in startable) == model.may_start(job.id)
+                assert (job.id in index.jobs) == (job.id not in startable)
+    assert sum(index.by_class.values()) == len(index.jobs) == sum(index.by_team.values())
 
 
-def test_a_stage_is_as_urgent_as_the_last_and_due_before_it():
+def test_a_stage_inherits_the_urgency_and_an_earlier_deadline_from_the_last():
     last = Job(spec(3, [2], due_s=100.0, urgency="high", estimate_s=8.0), ("a", 1), 1000.0)
     assert wanted_of(last, (1.0, 1.5)) == (1, 1092.0, 1142.0)
     middle = Job(spec(2, [1], urgency="low", estimate_s=20.0), ("a", 1), 1000.0)
-    wishes = InheritedPriorities(48.0)
-    assert wishes.wish(middle.id, last.id, *wanted_of(last, (1.0, 1.5)), last.id, 1001.0)
-    rank, middle.due_by, middle.last_by = wishes.of(middle.id)
+    inherited = InheritedPriorities(48.0)
+    assert inherited.wish(middle.id, last.id, *wanted_of(last, (1.0, 1.5)), last.id, 1001.0)
+    rank, middle.due_by, middle.last_by = inherited.of(middle.id)
     middle.raise_urgency(rank)
     assert wanted_of(middle, None) == (1, 1072.0, 1122.0) and middle.shape[0] == 1
 
 
-def test_a_wish_ends_with_who_had_it_or_when_it_is_not_repeated():
-    wishes = InheritedPriorities(10.0)
-    wishes.wish("req-1", "req-2", 0, 50.0, 60.0, "req-8", 0.0)
-    wishes.wish("req-1", "req-3", 1, 40.0, 90.0, "req-9", 5.0)
-    assert wishes.of("req-1") == (0, 40.0, 60.0) and wishes.end("req-1") == "req-9"
-    assert wishes.over("req-2") == ["req-1"] and wishes.of("req-1") == (1, 40.0, 90.0)
-    assert not wishes.wish("req-1", "req-3", 1, 40.0, 90.0, "req-9", 9.0)
-    assert wishes.expire(15.0) == [] and wishes.expire(20.0) == ["req-1"] and wishes.of("req-1") == NONE
-    wishes.wish("req-1", "req-3", 1, 40.0, 90.0, "req-9", 21.0)
-    wishes.forget("req-1")
-    assert wishes.over("req-3") == [] and NONE[1] == math.inf
+def test_an_inherited_priority_ends_with_its_job_or_when_not_repeated():
+    inherited = InheritedPriorities(10.0)
+    inherited.wish("req-1", "req-2", 0, 50.0, 60.0, "req-8", 0.0)
+    inherited.wish("req-1", "req-3", 1, 40.0, 90.0, "req-9", 5.0)
+    assert inherited.of("req-1") == (0, 40.0, 60.0) and inherited.end("req-1") == "req-9"
+    assert inherited.over("req-2") == ["req-1"] and inherited.of("req-1") == (1, 40.0, 90.0)
+    assert not inherited.wish("req-1", "req-3", 1, 40.0, 90.0, "req-9", 9.0)
+    assert (
+        inherited.expire(15.0) == [] and inherited.expire(20.0) == ["req-1"] and inherited.of("req-1") == NONE
+    )
+    inherited.wish("req-1", "req-3", 1, 40.0, 90.0, "req-9", 21.0)
+    inherited.forget("req-1")
+    assert inherited.over("req-3") == [] and NONE[1] == math.inf
 
 
-def test_parts_hold_all_names_in_order_and_fit():
+def test_upstream_parts_hold_all_ids_in_order_and_fit_a_value():
     names = [f"req-{number:030d}" for number in range(1600)]
     values = upstream_parts.split(names, 2048, 1e9)
     assert [name for value in values for name in value["ids"]] == names
@@ -145,8 +147,11 @@
     assert max(len(str(value).replace(" ", "  ")) for value in values) > 1500
 
 
-def holding(waiting, others=10):
-    """A controller's book with so many jobs held back, a few that may run, and what was sent."""
+def make_node_with_waiting(waiting, others=10):
+    """A controller with `waiting` jobs that have upstream jobs and `others` that may run.
+
+    Its attribute `sent` lists the frames that it sends.
+    """
     node = HostedNode(1, others)
     node.sent = []
     node.job_store.dependency_queue._send = lambda _label, frame: node.sent.append(frame)
@@ -159,15 +164,15 @@
     return node
 
 
-def test_jobs_that_wait_cost_no_pass_over_them():
-    few, many = holding(1000), holding(20000)
+def test_no_pass_iterates_over_waiting_jobs():
+    few, many = make_node_with_waiting(1000), make_node_with_waiting(20000)
     for node in (few, many):
         assert (
             len(node.job_store.jobs) == 10 and len(node.job_store.dependency_queue.dependencies.jobs) >= 1000
         )
     assert calls(many.job_store.reconciliation.ask_all, []) == calls(few.job_store.reconciliation.ask_all, [])
     assert len(list(many.fair_share.candidates())) == len(list(few.fair_share.candidates())) == 10
-    # A beat says the wishes of a bounded number again.
+    # A heartbeat repeats the inherited priorities of a bounded number of jobs.
     many.member.format_gate.record = {"format": many.member.format_gate.knows, "seen": {}}
     assert (
         0
@@ -176,19 +181,19 @@
     )
 
 
-def test_two_thousand_released_at_once_cost_what_they_are():
-    node = holding(20000)
-    few = holding(2000)
+def test_releasing_two_thousand_jobs_costs_in_proportion_to_them():
+    many = make_node_with_waiting(20000)
+    few = make_node_with_waiting(2000)
     cost = [
-        calls(each.job_store.remember_final, "req-7", {"s": "done", "n": 1, "d": 1}) for each in (few, node)
+        calls(node.job_store.remember_final, "req-7", {"s": "done", "n": 1, "d": 1}) for node in (few, many)
     ]
     assert (
-        len(node.job_store.jobs) == 2010 and len(node.job_store.dependency_queue.dependencies.jobs) == 18000
+        len(many.job_store.jobs) == 2010 and len(many.job_store.dependency_queue.dependencies.jobs) == 18000
     )
     assert cost[1] <= 1.05 * cost[0] and cost[0] < 2000 * 40
 
 
-def test_ancestors_are_read_by_pages_and_remembered_until_something_is_cancelled():
+def test_ancestors_are_read_in_pages_and_cached_until_a_cancellation():
     class Store:
         reads = 0
         stamp = 5
@@ -207,16 +212,16 @@
     records = {name: {"s": "open", "spec": {"shape": "batch"}} for name in names}
     loop, store, learned, answers = Sim(1), Store(), [], []
 
-    async def whole(_name, record):
+    async def read_whole(_name, record):
         return record
 
-    above = Ancestry(
+    ancestors = Ancestry(
         loop,
         store,
         lambda _name: None,
         lambda name, _record: learned.append(name),
         None,
-        whole,
+        read_whole,
         lambda record: record["spec"].get("upstream", ()),
         lambda _record: "closed",
         ("j/",),
@@ -224,7 +229,7 @@
 
     async def ask():
         try:
-            answers.append(await above.derive({"s": "open", "spec": {"upstream": names}}))
+            answers.append(await ancestors.derive({"s": "open", "spec": {"upstream": names}}))
         except Exception as error:
             answers.append(error)
 
@@ -241,19 +246,19 @@
     assert answers[2] == ("closed", []) and learned == [names[77]]
 
 
-def test_the_lower_limits_are_planned_for_from_the_first_write():
+def test_writes_are_sized_for_announced_lower_limits_from_the_start():
     limits = StateLimits(150.0, 20.0, 8.0, 16, LaterLimits(write_rps=15.0, value_kb=2.0, txn_ops=5))
-    told = []
-    client = StateClient(Sim(1), None, "10.2.0.1:2379", limits, 3, lambda: told.append(True))
+    notified = []
+    client = StateClient(Sim(1), None, "10.2.0.1:2379", limits, 3, lambda: notified.append(True))
     assert (client.limits.value_kb, client.limits.txn_ops, client.limits.write_rps) == (2.0, 5, 20.0)
     assert client.batch == 5 and not client.lowered
     client.apply_lower_limits()
     client.apply_lower_limits()
-    assert client.lowered and told == [True] and client.limits.write_rps == 15.0
+    assert client.lowered and notified == [True] and client.limits.write_rps == 15.0
     assert client.writes.rate == pytest.approx(0.95 * 5.0)
 
 
-def test_a_tenants_record_fits_the_smaller_limit_or_says_so():
+def test_a_tenants_record_is_trimmed_to_the_limit_or_refused():
     tenant = records.Tenant(
         1,
         "kestrel",
@@ -267,11 +272,11 @@
         tenant.fitting(300)
 
 
-# The guards
+# Mutations: each disables one guard
 
 
 def starts_at_once(patch):
-    """A job starts although what it needs is not done."""
+    """A job starts before its upstream jobs are done."""
     patch.setattr(
         DependencyQueue,
         "add_waiting",
@@ -280,10 +285,10 @@
 
 
 def one_is_enough(patch):
-    """A job starts once the first of those that it needs is done."""
+    """A job starts once the first of its upstream jobs is done."""
     real = DependencyIndex.on_job_ended
 
-    def over(self, name, state):
+    def on_first_ended(self, name, state):
         if state == DONE:
             for job in self.dependents.get(name, ()):
                 for other in list(self._remaining[job]):
@@ -292,11 +297,11 @@
                         del self.dependents[other][job]
         return real(self, name, state)
 
-    patch.setattr(DependencyIndex, "on_job_ended", over)
+    patch.setattr(DependencyIndex, "on_job_ended", on_first_ended)
 
 
 def unknown_taken_for_done(patch):
-    """An heir takes what it has not heard of for done."""
+    """After a failover, an upstream job whose end is unknown counts as done."""
     real = DependencyIndex.add
     patch.setattr(
         DependencyIndex,
@@ -308,7 +313,8 @@
 
 
 def released_without_the_homes(patch):
-    """An inherited job starts once what it needs is done, though its owner of before may have started it."""
+    """A job taken over in a failover starts once its upstream jobs are done, without asking the shard leaders
+    whether its previous owner started it."""
 
     def released(self, job):
         job.unreconciled_leaders = set()
@@ -318,7 +324,7 @@
 
 
 def never_derived(patch):
-    """A job counts as its own record says alone."""
+    """A job's state is read from its own record alone, not derived from its ancestors."""
 
     async def derive(self, record):
         return record, []
@@ -328,7 +334,7 @@
 
 
 def only_the_next_above(patch):
-    """Only the jobs that it names are looked at, not those before them."""
+    """Only a job's direct upstream jobs are read, not their ancestors."""
     real = Ancestry._cache_record
     patch.setattr(
         Ancestry,
@@ -339,19 +345,19 @@
 
 
 def facts_never_old(patch):
-    """What was found of an ancestor once is taken for true after a cancellation."""
+    """Cached records of ancestors stay valid after a cancellation."""
     patch.setattr(Ancestry, "_cached", lambda self, name, _stamp: self._cache.get(name))
     patch.setattr(DependencyQueue, "_cancel", lambda self, job: None)
 
 
 def cancellations_not_counted(patch):
-    """A cancellation does not change the key by which polls notice it."""
+    """A cancellation does not change the key that invalidates the cached ancestors."""
     patch.setattr("roadhead.api.cancellation_writer.CANCELS", "c/y")
     patch.setattr(DependencyQueue, "_cancel", lambda self, job: None)
 
 
 def accepted_unseen(patch):
-    """A submission that names a job never accepted is taken."""
+    """A submission whose upstream job was never accepted is accepted."""
 
     async def admission(self, _spec, _own):
         return None, False
@@ -360,7 +366,7 @@
 
 
 def opened_by_those_alive(patch):
-    """The gate counts only who is there."""
+    """The format gate opens without the controllers that are absent."""
     real = format_gate.next_record
     patch.setattr(
         format_gate,
@@ -372,12 +378,12 @@
 
 
 def taken_before_the_gate(patch):
-    """Submissions that name others are taken although an old controller may inherit them."""
+    """Submissions with upstream jobs are accepted while an older controller may still take them over."""
     patch.setattr(format_gate.FormatGate, "is_open", property(lambda self: True))
 
 
 def sizes_of_today(patch):
-    """Values and transactions are planned for the limits of today."""
+    """Values and transactions are sized for the current limits, not for the announced ones."""
     patch.setattr(StateLimits, "planned", lambda self: self)
 
 
@@ -396,7 +402,7 @@
     )
 
 
-OLD_BACK = """
+ROLL_WITH_FAILOVER = """
 capacity 8
 at 1 submit count=3 legs=4 runS=30
 at 8 upgrade 0
@@ -410,7 +416,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sabotage", "world"),
+    ("mutation", "world"),
     [
         (starts_at_once, "pipeline"),
         (one_is_enough, "pipeline"),
@@ -421,73 +427,75 @@
         (facts_never_old, chains("at 20 cancel 1")),
         (cancellations_not_counted, chains("at 20 cancel 1")),
         (accepted_unseen, "pipeline-refused"),
-        (opened_by_those_alive, OLD_BACK.format(pipelines(25, 4))),
-        (taken_before_the_gate, OLD_BACK.format(pipelines(25, 4))),
+        (opened_by_those_alive, ROLL_WITH_FAILOVER.format(pipelines(25, 4))),
+        (taken_before_the_gate, ROLL_WITH_FAILOVER.format(pipelines(25, 4))),
         (sizes_of_today, "pipeline-lowered"),
     ],
     ids=lambda value: value.__name__ if callable(value) else "",
 )
-def test_a_guard_taken_out_is_noticed(sabotage, world):
-    """Luck decides who owns what, so a few seeds are tried; unbroken, the same one is clean."""
+def test_a_disabled_guard_is_noticed(mutation, world):
+    """Which controller owns a job depends on the seed, so up to 30 are tried. The seed that shows the fault
+    must pass without the mutation."""
     rolled = "upgrade" in world
     text = world if "\n" in world else (SCENARIOS / f"{world}.txt").read_text()
 
     def faults(seed):
-        played = (Rolled if rolled else World)(f"{text}\nseed {seed}\n").run()
-        told = [] if rolled else played.check()
-        return played.violations + told + ["too large"] * bool(played.state.oversized)
+        ended_world = (Rolled if rolled else World)(f"{text}\nseed {seed}\n").run()
+        unmet = [] if rolled else ended_world.check()
+        return ended_world.violations + unmet + ["too large"] * bool(ended_world.state.oversized)
 
     for seed in range(1, 31):
         with pytest.MonkeyPatch.context() as patch:
-            sabotage(patch)
-            noticed = faults(seed)
-        if noticed and not faults(seed):
+            mutation(patch)
+            found = faults(seed)
+        if found and not faults(seed):
             return
-    raise AssertionError(f"not noticed: {sabotage.__doc__}")
+    raise AssertionError(f"not noticed: {mutation.__doc__}")
 
 
-def test_word_of_what_is_over_is_believed_once_and_told_by_who_wrote_it():
-    node = holding(3)
-    line = node.job_store.dependency_queue
-    line.on_over(frames.JobsEnded([("req-7", 2, 2, 1e9, False)]))
+def test_an_ended_job_is_recorded_once_and_its_writer_overrides_others():
+    node = make_node_with_waiting(3)
+    dependency_queue = node.job_store.dependency_queue
+    dependency_queue.on_over(frames.JobsEnded([("req-7", 2, 2, 1e9, False)]))
     assert len(node.job_store.jobs) == 13 and node.job_store.final_records["req-7"]["e"] == 1e9
     assert all(job.released_at == 1e9 for job in list(node.job_store.jobs.values())[10:])
-    line.on_over(frames.JobsEnded([("req-7", 2, 0, 0.0, True)]))
+    dependency_queue.on_over(frames.JobsEnded([("req-7", 2, 0, 0.0, True)]))
     assert node.job_store.final_records["req-7"]["s"] == "done"
 
 
-def test_a_takeover_writes_nothing_for_jobs_that_wait():
-    """It takes them over when they are let go: with a write, and with the word of every home."""
+def test_a_failover_writes_nothing_for_waiting_jobs():
+    """A new owner writes a waiting job, and asks all shard leaders about it, only when it is released."""
     node = HostedNode(1, 0)
-    job_store, encode_urgency, sent = node.job_store, [], []
+    job_store, written, sent = node.job_store, [], []
     job_store._send = job_store.reconciliation._send = lambda _label, frame: sent.append(frame)
 
-    class Marked:
+    class RecorderStub:
         def schedule_write(self, job, _urgency):
-            encode_urgency.append(job)
+            written.append(job)
 
-    job_store.recorder = Marked()
+    job_store.recorder = RecorderStub()
     specs = [
         messages.msgspec.structs.replace(node.spec(number), upstream=["req-7"] if number % 2 else None)
         for number in range(200)
     ]
-    job_store.take_over([(Job(each, ("gone", 1), 0.0).record(1 << 15)[0], 5) for each in specs])
+    job_store.take_over([(Job(job_spec, ("gone", 1), 0.0).record(1 << 15)[0], 5) for job_spec in specs])
     assert (
-        len(encode_urgency) == len(job_store.jobs) == 100
+        len(written) == len(job_store.jobs) == 100
         and len(job_store.dependency_queue.dependencies.jobs) == 100
     )
-    assert [len(frame.jobs) for frame in sent] == [100, 100]  # a home each
+    assert [len(frame.jobs) for frame in sent] == [100, 100]  # one frame for each shard leader
     job_store.remember_final("req-7", {"s": "done", "n": 1, "d": 1})
     node.loop.run_until(0.1)
-    assert len(encode_urgency) == len(job_store.jobs) == 200
+    assert len(written) == len(job_store.jobs) == 200
     assert all(
         job.unreconciled_leaders == {"here", "there"} and job.taking_over for job in job_store.jobs.values()
     )
     assert [len(frame.jobs) for frame in sent[2:]] == [100, 100]
 
 
-def test_a_head_that_comes_late_names_no_parts_that_are_gone():
-    """Its transaction takes effect after the parts were collected: nothing is created."""
+def test_a_late_head_record_never_refers_to_collected_parts():
+    """A long upstream list is written in parts before the job's head record. Here the head's transaction is
+    delayed until the parts were garbage-collected: it must fail, and nothing may be created."""
     world = World("""
     value_kb 2
     txn_ops 5
@@ -513,7 +521,7 @@
     assert status == 409 and any(key.startswith("u/") for key in answer["failed"])
 
 
-def test_a_description_larger_than_a_value_is_never_taken():
+def test_a_job_larger_than_a_value_is_never_accepted():
     world = World(
         "at 1 submit count=2 legs=1\nat 2 submit legs=1 kit=" + "x" * 150 + "\nuntil 40\nexpect told done all"
     )
@@ -527,28 +535,28 @@
     assert "larger than the state service takes" in node.infeasibility_of(many)
 
 
-def test_lower_limits_found_by_one_are_known_to_all_at_once():
-    """Also to one that was away then; and the summary says so."""
+def test_lower_limits_found_by_one_controller_are_sent_to_all():
+    """A controller that was down at that time learns them too, and the summary reports them."""
     world = World(
         "next_write_rps 30\nnext_value_kb 2\nnext_txn_ops 5\nat 1 submit legs=2 runS=4\n"
         "at 20.5 crash 2 6\nuntil 40"
     )
     lowered = []
 
-    def look():
+    def record_lowered():
         lowered.append([node.state.lowered for _number, node in sorted(world.nodes.items())])
 
-    world.sim.call_at(19.0, look)
+    world.sim.call_at(19.0, record_lowered)
     world.sim.call_at(20.0, lambda: world.nodes[0].state.apply_lower_limits())
     for at in (20.2, 36.0):
-        world.sim.call_at(at, look)
+        world.sim.call_at(at, record_lowered)
     world.run()
     assert world.violations == [] and lowered == [[False] * 3, [True] * 3, [True] * 3]
     assert any("limits are lower" in line for line in world.nodes[0].summary()["troubles"])
 
 
-def test_a_pipeline_at_risk_is_told_early_by_its_last_job():
-    """Its first stage, at another owner, is late for it, while two more wait."""
+def test_a_pipeline_at_risk_is_reported_early_for_its_last_job():
+    """The first of three stages has another owner and is too late for the deadline of the last one."""
     world = World("""
     capacity 1
     at 1 submit legs=8 runS=60 expectS=60
