--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -1,4 +1,5 @@
-"""What handlers cost as the fleet grows, in calls made, not in seconds."""
+"""How the cost of handlers grows with the fleet, the jobs and the tenants, counted in function calls, not in
+seconds, so that the machine's load does not matter."""
 
 import random
 import sys
@@ -10,7 +11,7 @@
 from roadhead.decision_log import DecisionLog
 from roadhead.dispatch.dispatcher import Dispatcher
 from roadhead.jobs.job import Binding, Job
-from roadhead.jobs.job_store import JobStore as RealBook
+from roadhead.jobs.job_store import JobStore as RealJobStore
 from roadhead.local.sim import Sim
 from roadhead.local.world import World
 from roadhead.machines.machine import TaskRequirements
@@ -23,8 +24,8 @@
 from roadhead.tenants.teams import FairShare
 from roadhead.wire import frames, messages
 
-KIND = messages.MachineType("box", 4.0, 16.0, 0.2, ["a"], cache_gb=40.0, spot_price=0.05)
-NEEDS = TaskRequirements((1.0, 0.0, 3.0), "img", 1.0, 0.0, False)
+MACHINE_TYPE = messages.MachineType("box", 4.0, 16.0, 0.2, ["a"], cache_gb=40.0, spot_price=0.05)
+REQUIREMENTS = TaskRequirements((1.0, 0.0, 3.0), "img", 1.0, 0.0, False)
 
 
 class Term:
@@ -55,7 +56,7 @@
     def lease_may_have_expired(self):
         return False
 
-    def may_take_on(self, _share):
+    def may_take_on(self, _shard):
         return True
 
 
@@ -72,7 +73,7 @@
 
 
 def calls(fn, *args):
-    """How many Python and C functions `fn` calls."""
+    """Returns how many Python and C functions are called while `fn` runs."""
     count = 0
 
     def profile(_frame, event, _arg):
@@ -102,7 +103,7 @@
 
 
 def home_of(machines, tasks):
-    """A home of that many machines, each with that many running tasks of one CPU."""
+    """A shard leader with `machines` machines, each with `tasks` running tasks of one CPU."""
     counters = Counters()
     home = ShardLeader(
         Sim(1),
@@ -117,14 +118,14 @@
         counters,
         DecisionLog(lambda: 0.0, counters),
     )
-    home.registry.types = {"box": KIND}
+    home.registry.types = {"box": MACHINE_TYPE}
     home.begin(True)
     home.capacity_granter.window_s = 12.0
     for number in range(machines):
         machine = home.registry.register(f"n-{number:06d}", "10.1.0.1:9000", "box", "a", True, 0.0)
         home.report_processor.answer(report(number, tasks))
         for task in list(machine.tasks.values()):
-            machine.set_requirements(task, NEEDS)
+            machine.set_requirements(task, REQUIREMENTS)
     return home
 
 
@@ -141,14 +142,14 @@
 
 @pytest.mark.parametrize("tasks", [4, 0])
 def test_a_demand_costs_at_most_in_proportion_to_machines(tasks):
-    """Full fleets cost a glance a machine; parked room is granted until the demand is met."""
+    """Full machines are only checked; free ones are granted until the demand is met."""
     small = calls(home_of(100, tasks).capacity_granter.on_demand, "there", demand(5))
     large = calls(home_of(400, tasks).capacity_granter.on_demand, "there", demand(5))
     assert small > 0
     assert large <= 4.6 * small
 
 
-def test_a_demand_met_by_few_machines_does_not_ask_the_rest():
+def test_a_demand_met_by_few_machines_grants_no_more():
     one = frames.Demand(0, [(2, 1.0, 0.0, 3.0, 4, True, "", [], 10.0, "c", 50.0, True, 1.0)], [])
     home = home_of(200, 0)
     home.capacity_granter.on_demand("there", one)
@@ -176,7 +177,7 @@
 
 
 def costs(machines):
-    """Calls of a report, a list, a beat, and a look whether all is known, at that many machines."""
+    """Calls made for a report, a machine list, a heartbeat and a reconciliation check at that fleet size."""
     home = home_of(machines, 0)
     return (
         calls(home.report_processor.answer, report(0, 0, sequence=2)),
@@ -186,8 +187,9 @@
     )
 
 
-def test_what_a_home_does_for_a_machine_costs_the_same_in_any_fleet():
-    """A report costs the same; a list, a beat, a look whether all is known at most in proportion."""
+def test_the_cost_per_machine_is_the_same_in_any_fleet():
+    """A report and a reconciliation check cost the same in any fleet; a machine list and a heartbeat grow at
+    most in proportion."""
     small, large = costs(500), costs(2000)
     for few, many in zip(small[::3], large[::3], strict=True):
         assert 0 < many <= few + 2
@@ -195,8 +197,8 @@
         assert few > 0 and many <= 4.2 * few
 
 
-def test_a_sync_costs_what_it_names():
-    """Every end of a controller brings one for each few jobs that were taken over."""
+def test_a_reconciliation_request_costs_in_proportion_to_its_entries():
+    """After a failover there is one request for every few jobs that were taken over."""
     jobs = [f"req-{number}" for number in range(20)]
     frame = frames.ReconcileRequest(
         1, 1, jobs, [(f"n-{number:06d}", f"req-{number}", 0, 1) for number in range(20)]
@@ -210,33 +212,34 @@
     few, many = home_of(100, 4), home_of(400, 4)
     assert (
         0
-        < calls(partial(many.task_commands.set_job_requirements, over=False), "req-7", NEEDS)
-        <= (calls(partial(few.task_commands.set_job_requirements, over=False), "req-7", NEEDS) + 2)
+        < calls(partial(many.task_commands.set_job_requirements, over=False), "req-7", REQUIREMENTS)
+        <= (calls(partial(few.task_commands.set_job_requirements, over=False), "req-7", REQUIREMENTS) + 2)
     )
     assert 0 < calls(many.task_commands.cancel, ["req-7"]) <= calls(few.task_commands.cancel, ["req-7"]) + 2
 
 
-def test_hearing_all_machines_again_costs_in_proportion_while_syncs_wait():
-    """After a change of the term each machine that is heard could be the last that a sync waits for."""
+def test_reports_after_a_term_change_cost_in_proportion_while_requests_wait():
+    """After a term change each report might be the last one that a reconciliation request waits for, so the
+    check after each report must not iterate over all machines."""
 
-    def again(machines):
+    def hear_all(machines):
         home = home_of(machines, 0)
         for machine in home.machines.values():
             machine.confirmed_token = 0
         home.reconciliation.fence_shards([0], True)
-        home.apply_machine_list(listed(machines), 7.0)  # late enough, and they were up before
+        home.apply_machine_list(listed(machines), 7.0)  # a recent list of machines that were up before
         home.task_commands.on_sync("there", 1, frames.ReconcileRequest(1, 1, [], []))
         assert not home.reconciliation.is_reconciled()
         reports = [report(number, 0, sequence=2) for number in range(machines)]
-        total = calls(lambda: [home.report_processor.answer(heard) for heard in reports])
+        total = calls(lambda: [home.report_processor.answer(message) for message in reports])
         assert home.reconciliation.is_reconciled()
         return total
 
-    assert 0 < again(400) <= 4.2 * again(100)
+    assert 0 < hear_all(400) <= 4.2 * hear_all(100)
 
 
 class Unlimited:
-    """The quota partitions of a controller without limited teams."""
+    """Stub of the quota partitions of a controller without limited teams."""
 
     has_limits = False
 
@@ -252,7 +255,7 @@
         self.new_jobs = []
         self.jobs_seen = {}
 
-    def arriving_jobs(self, _on_word):
+    def arriving_jobs(self, _max_unconfirmed_cpus):
         return []
 
     def bind(self, job, machine, zone):
@@ -261,7 +264,7 @@
         return index, 1
 
 
-def dispatcher_of(jobs, listings):
+def make_dispatcher(jobs, grants):
     def job(number):
         return Job(
             messages.JobSpec(
@@ -303,7 +306,7 @@
     )
     dispatcher.queue.time_of_day = lambda: 10.0
     dispatcher.queue.capacity = lambda: 100.0
-    for number in range(listings):
+    for number in range(grants):
         dispatcher.on_grant(
             frames.Grant(f"n-{number:06d}", 1, 0, "box", "a", "here", True, 1.0, 0.0, 4.0, [], 10.0)
         )
@@ -318,7 +321,7 @@
 
 
 class HostedNode:
-    """What a desk asks of its controller, with jobs of one tenant."""
+    """Stub of a controller with tenants and open jobs, as tenant admission needs it."""
 
     def __init__(self, tenants, jobs):
         self.loop = Sim(1)
@@ -333,7 +336,7 @@
         self.member = Member()
         self.member.term = HostedTerm()
         self.member.watched_at = 0.0
-        self.job_store = RealBook(
+        self.job_store = RealJobStore(
             self.loop,
             self.member,
             lambda *_: None,
@@ -404,7 +407,7 @@
         return "here"
 
 
-def test_idle_tenants_cost_nothing_where_jobs_are_taken_and_placed():
+def test_idle_tenants_cost_nothing_when_jobs_are_accepted_and_placed():
     few, many = HostedNode(10, 200), HostedNode(1000, 200)
     for node in (few, many):
         node.jobs = list(node.job_store.jobs.values())
@@ -423,25 +426,25 @@
         calls(many.job_store.quota.headroom, "1/team3") <= calls(few.job_store.quota.headroom, "1/team3") + 2
     )
     record = records.Tenant(7, "tenant-7", version=2, teams=[records.Team("team1")]).to_record()
-    few.dispatcher = many.dispatcher = Changed()
+    few.dispatcher = many.dispatcher = Ignored()
     for node in (few, many):
-        node.tenant_admission._removal = Changed()
+        node.tenant_admission._removal = Ignored()
     change = (records.tenant_key(7), record, 10**6)
-    # The persistent map is a tree: the depth of its path is all that grows.
+    # The persistent map is a tree, so only the depth of its paths may grow.
     assert (
         calls(many.tenant_admission.table.take, *change)
         <= calls(few.tenant_admission.table.take, *change) + 8
     )
 
 
-def test_the_order_costs_the_same_however_many_jobs_wait():
-    def ordered(node):
+def test_ordering_costs_the_same_however_many_jobs_wait():
+    def order_cost(node):
         return calls(lambda: node.fair_share.assign_positions(list(node.fair_share.candidates())))
 
     few, many = HostedNode(10, 3000), HostedNode(10, 12_000)
-    assert 0 < ordered(many) <= 1.05 * ordered(few)
+    assert 0 < order_cost(many) <= 1.05 * order_cost(few)
     spec = few.spec(900_000)
-    # the tasks were counted lately
+    # Fills the cached task counts.
     few.tenant_admission.refusal(spec, 10), many.tenant_admission.refusal(spec, 10)
     assert (
         0
@@ -450,7 +453,7 @@
     )
 
 
-class Changed:
+class Ignored:
     def schedule_placement(self):
         pass
 
@@ -458,10 +461,10 @@
         pass
 
 
-def test_memory_of_tenants_and_open_jobs_is_in_proportion():
-    """Figures stand in docs/tenants.md; here only that they hold at two sizes."""
+def test_memory_per_tenant_and_open_job_is_bounded():
+    """Bounds the bytes per tenant and per open job; docs/tenants.md has the measured figures."""
 
-    def grown(tenants, jobs):
+    def traced_bytes(tenants, jobs):
         tracemalloc.start()
         node = HostedNode(tenants, jobs)
         size = tracemalloc.get_traced_memory()[0]
@@ -469,13 +472,13 @@
         assert len(node.job_store.jobs) == jobs
         return size
 
-    base, tenants, jobs = grown(10, 10), grown(510, 10), grown(10, 2010)
+    base, tenants, jobs = traced_bytes(10, 10), traced_bytes(510, 10), traced_bytes(10, 2010)
     assert (tenants - base) / 500 < 8_000
     assert (jobs - base) / 2000 < 6_000
 
 
-def listed_at_takeover(finals):
-    """Records read when a controller is dropped, with so many jobs over long since."""
+def records_listed_at_failover(finals):
+    """Records listed while a controller is removed from the term, with `finals` jobs that ended long ago."""
     world = World("at 1 submit legs=4 runS=200\nat 30 crash 0 60\nuntil 60")
     for number in range(finals):
         world.state.put(f"f/req-{500000 + number}", {"s": "done", "n": 1, "d": 1})
@@ -485,13 +488,13 @@
     return world.state.listed
 
 
-def test_a_takeover_reads_what_is_open_however_many_jobs_are_over():
-    few = listed_at_takeover(100)
-    assert 0 < few == listed_at_takeover(5000)
+def test_a_failover_lists_open_jobs_only():
+    few = records_listed_at_failover(100)
+    assert 0 < few == records_listed_at_failover(5000)
 
 
-def requests_of_a_takeover(tenants):
-    """Requests to the state service while a controller is dropped, with so many idle tenants."""
+def requests_at_failover(tenants):
+    """Requests to the state service while a controller is removed from the term, with `tenants` idle ones."""
     world = World(
         "gateways 1\nat 5 tenant busy team=crew\nat 8 submit tenant=busy legs=4 runS=200 count=9\n"
         "at 30 crash 0 60\nuntil 50"
@@ -507,24 +510,24 @@
     return counted[1] - counted[0]
 
 
-def test_a_takeover_asks_no_more_for_idle_tenants():
-    few = requests_of_a_takeover(10)
-    assert 0 < requests_of_a_takeover(900) <= 1.05 * few
+def test_idle_tenants_cost_no_requests_at_a_failover():
+    few = requests_at_failover(10)
+    assert 0 < requests_at_failover(900) <= 1.05 * few
 
 
-def test_a_placing_pass_costs_in_proportion_to_jobs_plus_room_not_their_product():
-    plain = calls(dispatcher_of(50, 20)._place)
-    jobs = calls(dispatcher_of(200, 20)._place)
-    both = calls(dispatcher_of(200, 80)._place)
+def test_a_placement_pass_costs_in_proportion_to_jobs_plus_grants():
+    plain = calls(make_dispatcher(50, 20)._place)
+    jobs = calls(make_dispatcher(200, 20)._place)
+    both = calls(make_dispatcher(200, 80)._place)
     assert jobs <= 4.6 * plain
     assert both <= 4.6 * plain
 
 
-def test_a_placing_pass_costs_the_same_however_many_jobs_wait_behind_what_is_placed():
-    def one_more(jobs):
-        dispatcher = dispatcher_of(jobs, 1)
+def test_a_placement_pass_costs_the_same_however_many_jobs_wait_behind():
+    def cost_of_one_more(jobs):
+        dispatcher = make_dispatcher(jobs, 1)
         dispatcher._place()
         dispatcher.on_grant(frames.Grant("n-000777", 2, 0, "box", "a", "here", True, 1.0, 0.0, 4.0, [], 10.0))
         return calls(dispatcher._place)
 
-    assert 0 < one_more(500) <= one_more(50) + 20
+    assert 0 < cost_of_one_more(500) <= cost_of_one_more(50) + 20
