--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,7 @@
-"""Garbage in, bounded answers out: HTTP, frames, done ranges and settings."""
+"""Parsers of HTTP, frames, messages and settings: any input is decoded or refused with the documented error.
+
+Also covers the ranges of done tasks and the record of a job.
+"""
 
 import json
 
@@ -56,7 +59,7 @@
 
 @fixed
 @given(st.binary(max_size=300), st.integers(1, 40))
-def test_http_garbage_is_refused_or_waits(data, step):
+def test_random_http_input_is_refused_or_incomplete(data, step):
     parser = Parser()
     try:
         for at in range(0, len(data), step):
@@ -68,7 +71,7 @@
 
 @fixed
 @given(st.binary(max_size=500), st.integers(1, 60))
-def test_http_requests_survive_any_cut(body, step):
+def test_http_requests_are_parsed_from_any_chunks(body, step):
     data = request_bytes("POST", "/v1/jobs", "h", body) * 2
     parser = Parser()
     found = []
@@ -93,7 +96,7 @@
         (b"GET / HTTP/1.1\r\nno colon\r\n\r\n", 400),
     ],
 )
-def test_http_refuses(data, status):
+def test_invalid_http_requests_are_refused(data, status):
     parser = Parser()
     parser.feed(data)
     with pytest.raises(HttpMessageError) as caught:
@@ -107,34 +110,34 @@
 
 @fixed
 @given(st.lists(st.tuples(texts, texts, counts, counts), max_size=5), counts, st.integers(1, 30))
-def test_frames_survive_any_cut(rows, number, step):
+def test_frames_are_decoded_from_any_chunks(rows, number, step):
     sent = [
         frames.ReconcileRequest(number, 1, [row[0] for row in rows], rows),
         frames.StartTasks(1, "m", number, "j", [(1, number)], 0, 1.0, 0.0, 2.5, "img", 0.9, 0.0, True, False),
     ]
     data = b"".join(frame.encode() for frame in sent)
-    splitter = frames.FrameDecoder()
+    decoder = frames.FrameDecoder()
     found = []
     for at in range(0, len(data), step):
-        splitter.feed(data[at : at + step])
-        found += splitter.frames()
+        decoder.feed(data[at : at + step])
+        found += decoder.frames()
     assert found == sent
 
 
 @fixed
 @given(st.binary(min_size=1, max_size=200))
-def test_frame_garbage_ends_in_bad_frame_only(data):
-    splitter = frames.FrameDecoder()
-    splitter.feed(data)
+def test_random_frame_input_raises_frame_errors_only(data):
+    decoder = frames.FrameDecoder()
+    decoder.feed(data)
     try:
-        assert all(isinstance(frame, frames.Frame) for frame in splitter.frames())
+        assert all(isinstance(frame, frames.Frame) for frame in decoder.frames())
     except frames.FrameError:
         pass
 
 
 @fixed
 @given(st.lists(st.integers(0, 60), max_size=80))
-def test_ranges_are_sets(numbers):
+def test_ranges_behave_like_sets(numbers):
     ranges = Ranges()
     known = set()
     for number in numbers:
@@ -143,20 +146,20 @@
     assert ranges.count == len(known)
     assert [n for n in range(61) if n in ranges] == sorted(known)
     pool = TaskPool(ranges, 61)
-    free = [n for n in range(61) if n not in known]
-    assert [n for n in range(61) if n in pool] == free
-    taken = free[::2]
+    unstarted = [n for n in range(61) if n not in known]
+    assert [n for n in range(61) if n in pool] == unstarted
+    taken = unstarted[::2]
     for number in taken:
         pool.remove(number)
     for number in taken[:3]:
         pool.append(number)
-    assert len(pool) == len(free) - len(taken[3:])
-    assert [pool.pop() for _ in range(len(pool))] == [*taken[:3][::-1], *free[1::2]]
+    assert len(pool) == len(unstarted) - len(taken[3:])
+    assert [pool.pop() for _ in range(len(pool))] == [*taken[:3][::-1], *unstarted[1::2]]
     assert Ranges(ranges.flat()).flat() == ranges.flat()
     assert all(end < start for end, start in zip(ranges.ends, ranges.starts[1:], strict=False))
 
 
-def test_record_of_ragged_completion_fits():
+def test_the_record_of_scattered_done_tasks_fits_a_value():
     spec = messages.parse({**JOB, "legs": 100_000}, messages.JobSpec)
     job = Job(spec, ("a", 1), 0.0)
     for index in range(0, 100_000, 2):
@@ -164,7 +167,7 @@
     job.done.add(1)
     record, recorded = job.record(8192)
     assert len(msgspec.json.encode(record)) <= 8192
-    assert 0 in recorded and 1 in recorded and 2 in recorded  # the longest range is kept
+    assert 0 in recorded and 1 in recorded and 2 in recorded  # the record keeps the longest range
     assert all(index in job.done for index in range(0, 100_000) if index in recorded)
 
 
@@ -189,18 +192,18 @@
         {"dueS": float("inf")},
     ],
 )
-def test_bad_jobs_are_invalid(change):
+def test_jobs_with_invalid_fields_are_rejected(change):
     with pytest.raises(messages.InvalidMessageError):
         messages.decode_as(cbor2.dumps({**JOB, **change}), messages.JobSpec).check()
 
 
 @pytest.mark.parametrize("name", sorted(JOB.keys() - {"kit"}))
-def test_missing_fields_are_invalid(name):
+def test_jobs_with_missing_fields_are_rejected(name):
     with pytest.raises(messages.InvalidMessageError):
         messages.decode_as(cbor2.dumps({k: v for k, v in JOB.items() if k != name}), messages.JobSpec)
 
 
-def test_unknown_fields_are_ignored_and_null_may_be_left_out():
+def test_unknown_fields_are_ignored_and_optional_ones_default_to_none():
     spec = messages.decode_as(cbor2.dumps({**JOB, "colour": "red"}), messages.JobSpec)
     spec.check()
     assert (spec.types, spec.zone, spec.due_s, spec.cpus) == (None, None, None, 1.0)
@@ -208,12 +211,12 @@
 
 @fixed
 @given(st.binary(max_size=200))
-def test_cbor_garbage_is_invalid(data):
+def test_random_bytes_are_no_valid_report(data):
     try:
         messages.decode_as(data, messages.Report).check()
     except messages.InvalidMessageError:
         return
-    raise AssertionError("random bytes made a report")
+    raise AssertionError("random bytes were decoded as a valid report")
 
 
 def test_settings_ignore_unknown_fields():
@@ -232,7 +235,7 @@
         {"external": {}},
     ],
 )
-def test_bad_settings_are_faults(change):
+def test_invalid_settings_are_rejected(change):
     with pytest.raises(SettingsError):
         parse(json.dumps({**PLATFORM, **change}).encode())
 
@@ -259,7 +262,7 @@
     ),
     st.sampled_from(sorted(PLATFORM)),
 )
-def test_settings_of_any_shape_load_or_fault(value, name):
+def test_settings_of_any_type_load_or_raise_settings_errors(value, name):
     try:
         parse(json.dumps({**PLATFORM, name: value}).encode())
     except SettingsError as error:
@@ -267,7 +270,7 @@
 
 
 @pytest.mark.parametrize(
-    ("later", "says"),
+    ("later", "message"),
     [
         ({"value_kb": "2"}, "Expected `float"),
         ({"txn_ops": 2.5}, "Expected `int"),
@@ -277,16 +280,16 @@
         ({"write_rps": 0}, "next.write_rps: must be above"),
     ],
 )
-def test_limits_that_come_later_are_checked_like_the_rest(later, says, tmp_path, capsys):
+def test_announced_limits_are_checked_like_the_current_ones(later, message, tmp_path, capsys):
     deployment = {**PLATFORM["deployment"], "state": {**PLATFORM["deployment"]["state"], "next": later}}
     file = tmp_path / "settings.json"
     file.write_text(json.dumps({**PLATFORM, "deployment": deployment}))
     assert cli.main(["check", "--config", str(file)]) == 2
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == 1 and says in lines[0]
+    assert len(lines) == 1 and message in lines[0]
 
 
-def test_limits_that_come_later_may_be_left_out():
+def test_announced_limits_may_be_left_out():
     state = PLATFORM["deployment"]["state"]
     for later in (None, {}, {"rps": 3}):
         deployment = {**PLATFORM["deployment"], "state": {**state, "next": later}}
@@ -296,13 +299,13 @@
 
 
 @pytest.mark.parametrize("upstream", ["req-1", [7], ["job"], ["req-"], [None], {"req-1": True}, ["req-1 "]])
-def test_bad_upstream_is_malformed(upstream):
+def test_invalid_upstream_ids_are_rejected(upstream):
     body = messages.decode(messages.encode({**JOB, "upstream": upstream}))
     with pytest.raises(messages.InvalidMessageError):
         messages.parse(body, messages.JobSpec).check()
 
 
-def test_no_upstream_is_none():
+def test_an_empty_or_missing_upstream_is_falsy():
     for body in (JOB, {**JOB, "upstream": None}, {**JOB, "upstream": []}):
         spec = messages.parse(body, messages.JobSpec)
         spec.check()
@@ -311,12 +314,20 @@
         )
 
 
-PARTITIONS = [b"[membership]\nquota_partitions = " + count for count in (b"0", b"65", b"1.5", b"many")]
+INVALID_PARTITION_COUNTS = [
+    b"[membership]\nquota_partitions = " + count for count in (b"0", b"65", b"1.5", b"many")
+]
 
 
-def test_tuning():
+def test_tuning_is_parsed_and_checked():
     assert parse_tuning(b"[fleet]\nidle_ratio = 2").fleet.idle_ratio == 2
     assert parse_tuning(b"[membership]\nquota_partitions = 24").membership.quota_partitions == 24
-    for bad in (b"[fleet]\nidle = 2", b"[fleet]\nidle_ratio = -1", *PARTITIONS, b"[other]", b"no toml"):
+    for bad in (
+        b"[fleet]\nidle = 2",
+        b"[fleet]\nidle_ratio = -1",
+        *INVALID_PARTITION_COUNTS,
+        b"[other]",
+        b"no toml",
+    ):
         with pytest.raises(SettingsError):
             parse_tuning(bad)
