--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""The checker of answer histories: hand-made ones, good and broken, and a controller that answers wrongly."""
+"""The checker of answer histories: valid and invalid histories, and a controller that caches its answers."""
 
 import pytest
 
@@ -10,18 +10,21 @@
 ACCEPTED = (SUBMIT, 0.0, 1.0, 201, "pending")
 
 
-def broken(*answers, job="j", history=None):
-    """The rules that such answers break: (question, asked at, answered at, status, state)."""
+def violated_rules(*answers, job="j", history=None):
+    """Returns the rules that the answers violate.
+
+    Each answer: (request kind, asked at, answered at, status, state).
+    """
     history = history or AnswerHistory()
     history.submitted(job, 0.0)
     return [
         fault.rule
-        for question, asked, answered, status, *state in answers
-        for fault in history.add(Answer(job, question, "one", asked, answered, status, *state))
+        for kind, asked, answered, status, *state in answers
+        for fault in history.add(Answer(job, kind, "one", asked, answered, status, *state))
     ]
 
 
-GOOD = {
+VALID = {
     "as it goes": [
         ACCEPTED,
         (POLL, 2, 3, 200, "pending"),
@@ -44,12 +47,12 @@
 }
 
 
-@pytest.mark.parametrize("name", GOOD)
-def test_a_good_history_has_no_fault(name):
-    assert broken(*GOOD[name]) == []
+@pytest.mark.parametrize("name", VALID)
+def test_a_valid_history_has_no_fault(name):
+    assert violated_rules(*VALID[name]) == []
 
 
-BROKEN = {
+INVALID = {
     "404 once accepted": ([ACCEPTED, (POLL, 1, 2, 404)], Rule.FORGOTTEN),
     "404 to a cancellation": ([ACCEPTED, (CANCEL, 2, 3, 404)], Rule.FORGOTTEN),
     "a repeat refused": ([ACCEPTED, (SUBMIT, 2, 3, 422)], Rule.FORGOTTEN),
@@ -75,30 +78,32 @@
 }
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_an_answer_that_is_too_old_is_noticed(name):
-    answers, rule = BROKEN[name]
-    assert broken(*answers) == [rule]
+@pytest.mark.parametrize("name", INVALID)
+def test_an_invalid_answer_is_noticed(name):
+    answers, rule = INVALID[name]
+    assert violated_rules(*answers) == [rule]
 
 
-def test_what_nobody_submitted_is_invented():
+def test_a_job_that_nobody_submitted_is_noticed():
     assert [fault.rule for fault in AnswerHistory().add(Answer("j", POLL, "one", 0, 1, 200, "pending"))] == [
         Rule.INVENTED
     ]
 
 
-def test_jobs_are_apart_and_answers_come_in_their_order():
+def test_jobs_are_checked_separately_and_answers_in_order():
     history = AnswerHistory()
-    assert broken(ACCEPTED, (POLL, 2, 3, 200, "done"), history=history) == []
-    assert broken((SUBMIT, 3, 4, 201, "pending"), (POLL, 4, 5, 503), job="other", history=history) == []
+    assert violated_rules(ACCEPTED, (POLL, 2, 3, 200, "done"), history=history) == []
+    assert (
+        violated_rules((SUBMIT, 3, 4, 201, "pending"), (POLL, 4, 5, 503), job="other", history=history) == []
+    )
     assert history.unavailable(POLL) == 1 and history.unavailable(SUBMIT) == 0
     with pytest.raises(ValueError):
         history.add(Answer("j", POLL, "one", 2, 3, 200, "done"))
 
 
-def test_answers_that_overlap_are_counted():
+def test_overlapping_answers_are_counted():
     history = AnswerHistory()
-    assert broken(*GOOD["running asked before the cancellation was told"], history=history) == []
+    assert violated_rules(*VALID["running asked before the cancellation was told"], history=history) == []
     assert history.overlaps == 1
 
 
@@ -111,13 +116,13 @@
 """
 
 
-def test_a_controller_that_answers_from_memory_is_noticed(monkeypatch):
+def test_a_controller_that_answers_from_a_cache_is_noticed(monkeypatch):
     assert World(SCENARIO).run().violations == []
-    real, first = server.Api._poll, {}
+    real, first_replies = server.Api._poll, {}
 
-    async def from_memory(api, job_id):
+    async def poll_from_cache(api, job_id):
         reply = await real(api, job_id)
-        return first.setdefault((api, job_id), reply) if reply[0] == 200 else reply
+        return first_replies.setdefault((api, job_id), reply) if reply[0] == 200 else reply
 
-    monkeypatch.setattr(server.Api, "_poll", from_memory)
+    monkeypatch.setattr(server.Api, "_poll", poll_from_cache)
     assert any("went_back" in fault for fault in World(SCENARIO).run().violations)
