--- a/tests/test_odd_requests.py
+++ b/tests/test_odd_requests.py
@@ -1,4 +1,4 @@
-"""Odd requests get the protocol's answer at once, from every controller, and nothing of them is stored."""
+"""Invalid requests: every controller gives the protocol's answer at once and stores nothing."""
 
 import io
 import math
@@ -15,9 +15,9 @@
 from roadhead.wire import messages
 from roadhead.wire.http import Client, NoResponseError
 
-ODD = "req-900001"
+NEW_JOB_ID = "req-900001"
 AT_ONCE_S = 0.05
-STEPS = {  # what goes on while the odd requests come, by the trouble that starts at 15 s
+FAULTS = {  # scenario lines of the fault that is active at 15 s, when the requests are sent
     "quiet": "",
     "failover": "at 14.9 crash 0 60",
     "outage": "at 14 outage 60",
@@ -26,21 +26,21 @@
 
 
 def described(**fields):
-    """A whole submission, with some fields set otherwise, or left out if `...`."""
+    """A complete submission with some fields replaced, or left out if `...`."""
     job = parse_job({})
     job = {name: value for name, value in job.items() if name not in ("runS", "apartS", "faulty", "upstream")}
-    return {name: value for name, value in {"id": ODD, **job, **fields}.items() if value is not ...}
+    return {name: value for name, value in {"id": NEW_JOB_ID, **job, **fields}.items() if value is not ...}
 
 
 def body(**fields):
     return cbor2.dumps(described(**fields))
 
 
-def doubled(*, endless):
-    """The map of a submission with its id twice, of definite length or not."""
-    pairs = [*described().items(), ("id", ODD)]
-    head = b"\xbf" if endless else bytes((0xB8, len(pairs)))
-    return head + b"".join(cbor2.dumps(part) for pair in pairs for part in pair) + b"\xff" * endless
+def body_with_two_ids(*, indefinite):
+    """The CBOR map of a submission that contains its id twice, of definite or indefinite length."""
+    pairs = [*described().items(), ("id", NEW_JOB_ID)]
+    head = b"\xbf" if indefinite else bytes((0xB8, len(pairs)))
+    return head + b"".join(cbor2.dumps(part) for pair in pairs for part in pair) + b"\xff" * indefinite
 
 
 NUMBERS = ("vcpus", "gpus", "ramGb", "sizeGb", "expectS", "musterS", "stowS")
@@ -56,8 +56,8 @@
     "a list": cbor2.dumps([described()]),
     "tagged": b"\xd9\xd9\xf7" + body(),
     "bytes behind": body() + b"\x00",
-    "doubled": doubled(endless=False),
-    "doubled, endless": doubled(endless=True),
+    "doubled": body_with_two_ids(indefinite=False),
+    "doubled, endless": body_with_two_ids(indefinite=True),
     "nested deeply": b"\x81" * 60000 + b"\x00",
     "a list that is not there": b"\x9b" + b"\xff" * 8,
     **{f"no {name}": body(**{name: ...}) for name in REQUIRED},
@@ -94,7 +94,7 @@
 
 
 class Asked:
-    """A world that has run for a while, and requests to each of its controllers."""
+    """A simulated deployment at 15 s, and requests to each of its controllers."""
 
     def __init__(self, text):
         self.world = World(f"cpus_max 32\nuntil 15\nat 1 submit count=3 legs=2 runS=500\n{text}")
@@ -102,7 +102,7 @@
         self.took_s = 0.0
 
     def ask(self, number, method, path, data=b""):
-        """(status, decoded body, headers) by the controller of that number; None without an answer."""
+        """Returns (status, decoded body, headers) from controller `number`; None if it did not answer."""
         world, found = self.world, []
 
         async def request():
@@ -121,46 +121,46 @@
         return found[0]
 
     def ask_all(self, method, path, data=b""):
-        """The answers of all controllers that run."""
+        """Returns the answers of all running controllers."""
         return [self.ask(number, method, path, data) for number in sorted(self.world.nodes)]
 
     def stored(self, job_id):
         return [key for key in self.world.state.data if key.rpartition("/")[2] == job_id]
 
 
-@pytest.fixture(scope="module", params=STEPS)
-def step(request):
-    return request.param, Asked(STEPS[request.param])
+@pytest.fixture(scope="module", params=FAULTS)
+def fault_and_asked(request):
+    return request.param, Asked(FAULTS[request.param])
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-def test_malformed(step, name):
-    _, asked = step
+def test_malformed_submissions_are_refused(fault_and_asked, name):
+    _, asked = fault_and_asked
     for number in sorted(asked.world.nodes):
         status, _, _ = asked.ask(number, "POST", "/v1/jobs", MALFORMED[name])
         assert status == 400 and asked.took_s < AT_ONCE_S
-    assert asked.stored(ODD) == []
+    assert asked.stored(NEW_JOB_ID) == []
 
 
 @pytest.mark.parametrize("name", IMPOSSIBLE)
-def test_what_can_never_run(step, name):
-    """422 only by who can look whether it was accepted earlier: 503 from the others."""
-    trouble, asked = step
+def test_submissions_that_can_never_run_are_refused(fault_and_asked, name):
+    """A controller that cannot read whether the job was accepted earlier must answer 503 in place of 422."""
+    fault, asked = fault_and_asked
     for number in sorted(asked.world.nodes):
         status, _, headers = asked.ask(number, "POST", "/v1/jobs", body(**IMPOSSIBLE[name]))
-        blind = trouble == "outage" or (trouble.startswith("cut") and number == 0)
-        assert status == (503 if blind else 422)
-        assert ("retry-after" in headers) == blind
-    assert asked.stored(ODD) == []
+        cannot_read = fault == "outage" or (fault.startswith("cut") and number == 0)
+        assert status == (503 if cannot_read else 422)
+        assert ("retry-after" in headers) == cannot_read
+    assert asked.stored(NEW_JOB_ID) == []
 
 
-def test_too_large_a_body_is_refused_before_it_is_read(step):
-    _, asked = step
+def test_a_body_that_is_too_large_is_refused_before_it_is_read(fault_and_asked):
+    _, asked = fault_and_asked
     assert {status for status, *_ in asked.ask_all("POST", "/v1/jobs", b"\xa0" * 65537)} == {413}
 
 
-@pytest.mark.parametrize("path", ["req-1x", "", "req-", "%00", "req-1%2F", ODD])
-def test_who_was_never_submitted_is_not_found(path):
+@pytest.mark.parametrize("path", ["req-1x", "", "req-", "%00", "req-1%2F", NEW_JOB_ID])
+def test_a_job_that_was_never_submitted_is_not_found(path):
     asked = Asked("")
     assert {status for status, *_ in asked.ask_all("GET", f"/v1/jobs/{path}")} == {404}
     assert {status for status, *_ in asked.ask_all("POST", f"/v1/jobs/{path}/cancel")} == {404}
@@ -170,16 +170,17 @@
 @pytest.mark.parametrize(
     "fields", [{}, {"legs": 7}, {"vcpus": 64.0}, {"crew": "nobody"}, {"rigs": []}, {"upstream": ["req-77"]}]
 )
-def test_a_job_known_counts_whatever_is_submitted_again(fields):
+def test_a_resubmission_never_changes_an_accepted_job(fields):
     asked = Asked("")
     before = asked.world.state.data["j/req-000001"][0]["spec"]
     answers = asked.ask_all("POST", "/v1/jobs", body(id="req-000001", **fields))
     assert {status for status, *_ in answers} == {200}
-    assert {answer["status"] for _, answer, _ in answers} <= {"pending", "running"}  # its owner knows which
+    # Only the job's owner knows which of the two it is.
+    assert {answer["status"] for _, answer, _ in answers} <= {"pending", "running"}
     assert asked.world.state.data["j/req-000001"][0]["spec"] == before
 
 
-def test_what_is_over_stays_so():
+def test_an_ended_job_keeps_its_state():
     asked = Asked("at 2 submit legs=1 runS=1\nat 9 cancel 2\nuntil 45")
     for job, state in (("req-000004", "done"), ("req-000002", "cancelled")):
         for method, path, data in (
@@ -192,7 +193,7 @@
             assert {(status, answer["status"]) for status, answer, _ in answers} == {(200, state)}
 
 
-def test_foreign_fields_are_ignored_and_null_means_left_out():
+def test_unknown_fields_are_ignored_and_null_means_left_out():
     asked = Asked("")
     for number, fields in enumerate(
         (
@@ -207,7 +208,7 @@
         assert asked.stored(job) and "color" not in asked.world.state.data[f"j/{job}"][0]["spec"]
 
 
-# The same examples each time; how fast they are drawn tells of the machine's load, not of what is tested.
+# Examples are deterministic. The health check for slow data generation depends on the machine's load only.
 fixed = settings(
     derandomize=True,
     database=None,
@@ -229,7 +230,7 @@
         st.sampled_from((*REQUIRED, "dueS", "kit", "rigs", "paddock", "upstream")), JUNK, max_size=3
     )
 )
-def test_any_value_of_a_field_is_taken_or_invalid(fields):
+def test_any_field_value_is_accepted_or_invalid(fields):
     try:
         spec = parse(body(**fields))
     except messages.InvalidMessageError:
@@ -239,7 +240,7 @@
 
 @fixed
 @given(st.binary(max_size=40), st.integers(0, 400), st.integers(0, 8))
-def test_any_bytes_are_taken_or_invalid(junk, at, removed):
+def test_any_bytes_are_accepted_or_invalid(junk, at, removed):
     whole = body()
     try:
         parse(whole[:at] + junk + whole[at + removed :])
@@ -249,11 +250,11 @@
 
 @fixed
 @given(st.dictionaries(st.text(max_size=4), JUNK, max_size=30), st.booleans())
-def test_maps_of_any_encoding_are_read_whole(value, endless):
+def test_maps_of_definite_and_indefinite_length_are_decoded_alike(value, indefinite):
     stream = io.BytesIO()
     cbor2.dump(value, stream)
     data = stream.getvalue()
-    if endless:
+    if indefinite:
         parts = b"".join(cbor2.dumps(part) for pair in value.items() for part in pair)
         data = b"\xbf" + parts + b"\xff"
     assert repr(messages.decode_strict_map(data)) == repr(messages.decode_map(data))
