--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -1,4 +1,4 @@
-"""A cluster on this machine: real processes over real sockets. Bounded, and not judged by seconds."""
+"""A local cluster of real processes and sockets. Waits have a generous bound; nothing depends on speed."""
 
 import json
 import os
@@ -15,20 +15,20 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PROGRAM = [str(ROOT / "run.py")]
-BOUND_S = 60
+TIMEOUT_S = 60
 
 
 @pytest.fixture(scope="module")
 def directory(tmp_path_factory):
-    # Only these tests' children: the libraries are those of this interpreter.
+    # The child processes import the same libraries as this interpreter.
     os.environ["PYTHONPATH"] = os.pathsep.join([str(ROOT), *sys.path])
     return tmp_path_factory.mktemp("cluster")
 
 
-def until(check):
-    deadline = time.monotonic() + BOUND_S
+def wait_until(check):
+    deadline = time.monotonic() + TIMEOUT_S
     while not check():
-        assert time.monotonic() < deadline, "not within the bound"
+        assert time.monotonic() < deadline, "the condition did not hold within the timeout"
         time.sleep(0.1)
 
 
@@ -41,7 +41,7 @@
     return status == 200 and answer["status"] == "done"
 
 
-def test_jobs_run_through_crashes_and_what_fails_is_named(directory, tmp_path, capfd):
+def test_jobs_survive_crashes_and_failed_tasks_are_reported(directory, tmp_path, capfd):
     jobs = tmp_path / "jobs.toml"
     jobs.write_text("""
 [[job]]
@@ -55,7 +55,7 @@
     cluster = local.Cluster(directory / "crashes", PROGRAM)
     try:
         cluster.start()
-        assert local.run(cluster, str(jobs), crashes=2, timeout_s=BOUND_S) == 1
+        assert local.run(cluster, str(jobs), crashes=2, timeout_s=TIMEOUT_S) == 1
     finally:
         cluster.stop()
     out = capfd.readouterr().out
@@ -64,30 +64,30 @@
     assert "6 of 7 tasks done" in out
 
 
-def test_what_was_accepted_is_there_after_all_were_killed(directory, monkeypatch, capsys):
+def test_accepted_jobs_survive_a_kill_of_all_processes(directory, monkeypatch, capsys):
     cluster = local.Cluster(directory / "kept", PROGRAM)
     try:
         cluster.start()
         cluster.tenant()
         cluster.submit(*job("quick", "echo done"))
-        until(lambda: done(cluster, "quick"))
+        wait_until(lambda: done(cluster, "quick"))
         for number in range(5):
             cluster.submit(*job(f"later{number}", "sleep 1; echo later", tasks=2))
-        cluster.stop()  # kill -9 of every process
+        cluster.stop()  # kill -9 (SIGKILL) of every process
         again = local.Cluster(directory / "kept", PROGRAM)
         assert again.plan == cluster.plan
         cluster = again
         cluster.start()
         assert cluster.tenant()
         assert done(cluster, "quick")
-        until(lambda: all(done(cluster, f"later{number}") for number in range(5)))
-        _tenants_command(cluster, monkeypatch, capsys)
+        wait_until(lambda: all(done(cluster, f"later{number}") for number in range(5)))
+        _check_tenants_command(cluster, monkeypatch, capsys)
     finally:
         cluster.stop()
 
 
-def _tenants_command(cluster, monkeypatch, capsys):
-    """`roadhead tenants` against the same gateway."""
+def _check_tenants_command(cluster, monkeypatch, capsys):
+    """Runs the subcommands of `roadhead tenants` against the cluster's gateway."""
     hosted = str(cluster.directory / "hosted.toml")
     assert cli.main(["tenants", "root-key", "--hosted", hosted]) == 0
     monkeypatch.setenv(commands.KEY_VARIABLE, capsys.readouterr().out.strip())
@@ -110,13 +110,13 @@
     assert "kestrel" in capsys.readouterr().out
     assert cli.main(["tenants", "remove", "kestrel", *address]) == 0
     front = cluster.plan["fronts"][0]
-    assert cli.main(["summary", front]) == 1  # strangers are told nothing
+    assert cli.main(["summary", front]) == 1  # without the secret file nothing is shown
     assert cli.main(["summary", front, "--hosted", hosted]) == 0
     assert "controllers heard: controller-0" in capsys.readouterr().out
 
 
-def test_one_tenant_floods_and_the_other_is_served(directory):
-    """The flooded tenant gets no refusal and all its work done; the flood is refused in time."""
+def test_a_flood_of_one_tenant_does_not_affect_another(directory):
+    """Beside the flood no job of the other tenant is refused and all are done; most of the flood gets 429."""
     cluster = local.Cluster(directory / "flood", PROGRAM)
     try:
         cluster.start()
@@ -145,7 +145,7 @@
             if number % 15 == 0:
                 assert cluster.submit(*job(f"q{number}", "true", priority="low"))
         assert statuses.count(429) >= 100 and set(statuses) <= {201, 429, 503}
-        until(lambda: all(done(cluster, f"q{number}") for number in range(0, 150, 15)))
+        wait_until(lambda: all(done(cluster, f"q{number}") for number in range(0, 150, 15)))
         _status, page = cluster.ask("GET", "/v1/jobs?limit=500")
         assert {row["id"] for row in page["jobs"]} == {f"q{number}" for number in range(0, 150, 15)}
     finally:
@@ -165,13 +165,13 @@
         "[[job]]\nid = 'a'\ncommand = ['x']\n[[job]]\nid = 'a'\ncommand = ['x']",
     ],
 )
-def test_bad_job_files_are_told_before_anything_starts(text, tmp_path, capsys):
+def test_invalid_job_files_are_reported_before_anything_starts(text, tmp_path, capsys):
     file = tmp_path / "jobs.toml"
     file.write_text(text)
     assert cli.main(["local", "--run", str(file)]) == 2
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
-def test_local_wants_a_file_or_a_directory(capsys):
+def test_local_requires_a_file_or_a_directory(capsys):
     assert cli.main(["local"]) == 2
     assert "--run FILE or --keep DIR" in capsys.readouterr().err
