--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Scale runs: what is wrong with a plan, what breaks a rule, and a small run of real processes."""
+"""Scale runs: validation of plans, the analysis that detects rule violations, and a small real run."""
 
 import json
 import subprocess
@@ -39,13 +39,13 @@
         (f"{ONE_CLASS}[[event]]\nat_s = 1.0\nkind = 'reports_slow'\ncount = 101", "percent of the reports"),
     ],
 )
-def test_what_is_wrong_with_a_plan_is_said(text, fault):
+def test_each_fault_of_a_plan_is_reported(text, fault):
     with pytest.raises(plan.PlanError) as caught:
         plan.parse(text.encode())
     assert any(fault in line for line in caught.value.faults), caught.value.faults
 
 
-def test_a_bad_plan_is_told_before_anything_starts(tmp_path):
+def test_an_invalid_plan_is_reported_before_anything_starts(tmp_path):
     file = tmp_path / "plan.toml"
     file.write_text("[cluster]\nworkers = -1\nhosts = 0\n")
     done = subprocess.run(
@@ -64,7 +64,7 @@
     assert first.get("req-999999") is None
 
 
-def test_two_runs_at_once_have_workers_of_their_own():
+def test_concurrent_runs_use_separate_worker_addresses():
     (first, lock), (second, other_lock) = reserve_network(), reserve_network()
     with lock, other_lock:
         assert worker_address(first, 3000) != worker_address(second, 3000)
@@ -72,28 +72,28 @@
 
 
 def events(text):
-    """TaskEvents of lines `at sign task worker`."""
+    """Returns the TaskEvents of lines of the form `at sign task worker`."""
     return [
         analysis.TaskEvent(float(at), sign, f"req-000001/{task}", worker)
         for at, sign, task, worker in (line.split() for line in text.splitlines())
     ]
 
 
-def followed(text, limit=0.0):
+def follow_events(text, limit=0.0):
     return analysis.follow(events(text), Workload(plan.parse(ONE_CLASS.encode())), limit)
 
 
 def test_a_task_on_two_workers_is_noticed():
-    assert followed("1 + 0 x\n2 - 0 x\n3 + 0 y").faults == []
-    assert followed("1 + 0 x\n2 + 0 y").faults == ["ran_twice: req-000001/0 on y and x"]
+    assert follow_events("1 + 0 x\n2 - 0 x\n3 + 0 y").faults == []
+    assert follow_events("1 + 0 x\n2 + 0 y").faults == ["ran_twice: req-000001/0 on y and x"]
 
 
 def test_a_team_above_its_limit_is_noticed():
-    assert followed("1 + 0 x\n2 + 1 x", limit=2.0).faults == []
-    assert followed("1 + 0 x\n2 + 1 x", limit=1.0).faults == ["quota: team-0 uses 2 of 1 CPUs"]
+    assert follow_events("1 + 0 x\n2 + 1 x", limit=2.0).faults == []
+    assert follow_events("1 + 0 x\n2 + 1 x", limit=1.0).faults == ["quota: team-0 uses 2 of 1 CPUs"]
 
 
-def test_what_runs_long_after_a_cancellation_is_noticed():
+def test_a_task_that_outlives_its_cancellation_is_noticed():
     job = JobResult("req-000001", "a", 2, due_at=0.0, cancelled_at=10.0, state="cancelled")
     for at, faults in ((44.0, 0), (46.0, 1)):
         history = analysis.TaskHistory()
@@ -101,17 +101,17 @@
         assert len(history.faults) == faults
 
 
-def test_a_job_that_is_called_done_too_early_is_noticed():
+def test_a_job_reported_done_too_early_is_noticed():
     job = JobResult("req-000001", "a", 2, due_at=0.0, over_at=9.0, state="done")
     for last, faults in ((8.0, []), (9.5, ["not_done: req-000001"])):
-        history = followed(f"1 + 0 x\n2 = 0 -\n3 + 1 x\n{last} = 1 -")
+        history = follow_events(f"1 + 0 x\n2 = 0 -\n3 + 1 x\n{last} = 1 -")
         analysis.check_done([job], history)
         assert history.faults == faults
 
 
-def test_latencies_count_from_the_time_at_which_a_job_was_due():
+def test_latencies_are_measured_from_a_jobs_due_time():
     job = JobResult("req-000001", "a", 2, due_at=1.0, accepted_at=1.5, over_at=9.0, state="done")
-    steps = analysis.latencies([job], followed("2 + 0 x\n4 + 1 x\n5 = 0 -\n8 = 1 -"))["a"]
+    steps = analysis.latencies([job], follow_events("2 + 0 x\n4 + 1 x\n5 = 0 -\n8 = 1 -"))["a"]
     expected = {
         "accepted": 0.5,
         "first task started": 1.0,
@@ -122,11 +122,11 @@
 
 
 def environment():
-    """As this process, with its libraries."""
+    """Environment variables with which a child process finds the libraries of this one."""
     return {"PYTHONPATH": ":".join(path for path in sys.path if path), "PATH": "/usr/bin:/bin"}
 
 
-def test_a_small_run_of_real_processes_breaks_no_rule(tmp_path):
+def test_a_small_run_of_real_processes_violates_no_rule(tmp_path):
     report = tmp_path / "report.json"
     done = subprocess.run(
         [sys.executable, ROOT / "run.py", "scale", SMALL, "--report", report, "--keep", tmp_path / "run"],
@@ -149,7 +149,8 @@
     ]
     logs = [path.read_text() for path in (tmp_path / "run" / "logs").glob("controller-*.log")]
     assert len(logs) == 3 and all("decision=shard_held" in log for log in logs)
-    assert any("at=" in log and "decision=launch_sent" in log for log in logs)  # kept, and written at the end
+    # Launch decisions are buffered, and written when the run ends.
+    assert any("at=" in log and "decision=launch_sent" in log for log in logs)
     assert set(found["roles"]) == {"state", "cloud", "workers", "controller", "users"}
     assert found["worker_bytes_per_s"] > 0
     assert msgspec.json.encode(found["state_requests_per_s"]) != b"{}"
