--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, and the real loop and sockets underneath it, on loopback."""
+"""The command line, with the real event loop and sockets on the loopback interface."""
 
 import json
 import os
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def server():
-    """A loop of its own that answers a few paths; yields its address."""
+    """Serves a few paths from an event loop in another thread; yields its address."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{probe.getsockname()[1]}"
@@ -49,10 +49,10 @@
 
     Net(loop).listen(address, lambda stream: loop.spawn(http.serve(loop, stream, handle, 5.0)))
 
-    def beat():
-        loop.call_later(0.02, beat)
+    def wake_up():
+        loop.call_later(0.02, wake_up)
 
-    beat()
+    wake_up()
     thread = threading.Thread(target=loop.run, daemon=True)
     thread.start()
     yield address
@@ -80,7 +80,7 @@
     assert "since start: a: stood still: once at 03:12:00, 6.0 s" in out
 
 
-def test_refusals_and_unreachable(server, capsys):
+def test_refusals_and_an_unreachable_controller(server, capsys):
     assert cli.main(["status", server, "req-000009"]) == 1
     assert "404 no such job" in capsys.readouterr().err
     with socket.socket() as probe:
@@ -88,7 +88,7 @@
         assert cli.main(["cancel", f"127.0.0.1:{probe.getsockname()[1]}", "req-000001"]) == 1
 
 
-def test_check(tmp_path, capsys):
+def test_check_reports_each_fault_on_a_line(tmp_path, capsys):
     good = tmp_path / "good.json"
     good.write_text(json.dumps(PLATFORM))
     assert cli.main(["check", "--config", str(good)]) == 0
@@ -101,7 +101,7 @@
     assert cli.main(["check", "--config", str(tmp_path / "none.json")]) == 2
 
 
-def test_summary_adds_up_over_controllers():
+def test_each_controllers_summary_covers_all_controllers():
     world = World("at 1 submit count=4 legs=4\nat 20 submit legs=2 runS=300 dueS=30\nuntil 80")
     world.run()
     for node in world.nodes.values():
@@ -112,8 +112,8 @@
         assert summary["behind"] == []
 
 
-def test_shares_from_any_controller(capsys):
-    """Who has what, what was lost with a controller, and what it was given back."""
+def test_any_controller_lists_the_shards(capsys):
+    """Any controller lists the current shards, those lost in a crash and those given back after a restart."""
     world = World("capacity 9\nat 1 submit count=4 legs=9 runS=90\nat 30 crash 1 15\nuntil 90")
     world.run()
     answers = [node.shares() for node in world.nodes.values()]
@@ -130,8 +130,8 @@
     assert "ctl-1" in text and "(lost)" in text and "(given)" in text
 
 
-def test_a_controller_starts_with_what_it_needs_and_no_more():
-    """Nothing of hosting, local clusters or their libraries, without a hosted file."""
+def test_a_controller_imports_only_what_it_needs():
+    """Without a hosted file, modules for tenants and local clusters and their libraries are not imported."""
     code = (
         "import sys, run, roadhead.cli, roadhead.node, roadhead.settings; roadhead.cli._parser(False); "
         "print(*sorted(sys.modules))"
@@ -168,7 +168,7 @@
     assert out.returncode == 0 and "summary" in out.stdout and "shares" in out.stdout, out.stderr
 
 
-def test_the_hosted_file_that_comes_along_is_good(tmp_path, capsys):
+def test_the_shipped_hosted_file_is_valid(tmp_path, capsys):
     assert hosted_settings.parse((ROOT / "deploy" / "hosted.toml").read_bytes()).slots == 24
     (tmp_path / "settings.json").write_text(json.dumps(PLATFORM))
     hosted = tmp_path / "hosted.toml"
@@ -183,7 +183,7 @@
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
-def test_an_unknown_log_level_is_said_and_nothing_starts(monkeypatch, capsys, tmp_path):
+def test_an_unknown_log_level_is_reported_and_nothing_starts(monkeypatch, capsys, tmp_path):
     monkeypatch.setenv("LOG_LEVEL", "loud")
     path = tmp_path / "settings.json"
     path.write_text(json.dumps(PLATFORM))
