--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -1,5 +1,7 @@
-"""Whoever writes is ended right before, or right after, each of its writes that a pipeline or the gate needs:
-somebody else, or the one that comes back, finishes every step."""
+"""Crashes a controller right before, or right after, each of its writes for pipelines and the format gate.
+
+Another controller, or the same one after its restart, must finish every step.
+"""
 
 import pytest
 from test_upgrade import LIMITS, Rolled, pipelines
@@ -36,20 +38,24 @@
 """
 
 
-def ended_at(kind, text, step, after, wanted):
-    """The world in which the sender of a transaction ends: the `step`th of those that `wanted(body)` names;
-    `after` it took effect, or in its place. None if there are not so many."""
+def run_with_crash_at(kind, text, step, after, matches):
+    """Runs a world in which the sender of one transaction crashes, and returns the world.
+
+    The transaction is number `step` of those for which `matches(body)` holds. With `after` it takes effect
+    first; otherwise it is answered with 503 and not executed. Returns None if there are fewer such
+    transactions.
+    """
     world = kind(text)
     state = world.state
     real, count = state.handle, 0
 
     async def handle(method, path, args, body, host):
         nonlocal count
-        hit = False
-        if path == "/multi" and body["writes"] and host.startswith("10.0.0.") and wanted(body):
-            hit = count == step
+        is_chosen = False
+        if path == "/multi" and body["writes"] and host.startswith("10.0.0.") and matches(body):
+            is_chosen = count == step
             count += 1
-        if not hit:
+        if not is_chosen:
             return await real(method, path, args, body, host)
         answer = await real(method, path, args, body, host) if after else (503, {"error": "trouble"})
         world.crash(int(host.rpartition(".")[2]) - 1, 0.3)
@@ -60,13 +66,13 @@
     return world if count > step else None
 
 
-def keys(*prefixes):
+def writes_any_of(*prefixes):
     return lambda body: any(
         (write.get("put") or write["drop"]).startswith(prefixes) for write in body["writes"]
     )
 
 
-def of_jobs_that_need_others(body):
+def writes_of_jobs_with_upstream(body):
     return any(
         "put" in write and write["put"].startswith(("j/", "f/", "c/x/")) and int(write["put"][-6:]) >= 4
         for write in body["writes"]
@@ -75,26 +81,26 @@
 
 @pytest.mark.parametrize("after", [False, True])
 @pytest.mark.parametrize(
-    ("kind", "text", "wanted"),
+    ("kind", "text", "matches"),
     [
-        (World, PIPELINES, of_jobs_that_need_others),
-        (Rolled, ROLL, keys("c/format", "c/term", "c/m/")),
-        (World, WIDE, keys("u/", "j/req-000131", "j/req-000132")),
+        (World, PIPELINES, writes_of_jobs_with_upstream),
+        (Rolled, ROLL, writes_any_of("c/format", "c/term", "c/m/")),
+        (World, WIDE, writes_any_of("u/", "j/req-000131", "j/req-000132")),
     ],
     ids=["release and cancel", "gate", "parts"],
 )
-def test_an_end_at_any_step(kind, text, wanted, after):
+def test_a_crash_at_any_write(kind, text, matches, after):
     steps = 0
-    while (world := ended_at(kind, text, steps, after, wanted)) is not None:
+    while (world := run_with_crash_at(kind, text, steps, after, matches)) is not None:
         assert world.violations == [] and world.failures.texts == [], steps
         assert world.counter("duties_failed") == 0 and world.state.oversized == 0
         cancelled = {"req-000008", "req-000009", "req-000010", "req-000011", "req-000012"}
         for job, user in world.users.items():
-            wanted_end = "cancelled" if text == PIPELINES and job in cancelled else "done"
-            assert user.last_state == wanted_end, (steps, job, user.last_state)
+            expected_state = "cancelled" if text == PIPELINES and job in cancelled else "done"
+            assert user.last_state == expected_state, (steps, job, user.last_state)
         if kind is Rolled:
             assert world.gate() == 4
         left = [key for key in world.state.data if key.startswith(("u/", "j/"))]
         assert left == [], (steps, left)
         steps += 1
-    assert steps >= 5, "hardly any step was tried"
+    assert steps >= 5, "fewer than 5 steps were tried"
