--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,10 +1,11 @@
-"""The simulator's own checks: each is seen to notice what it is for."""
+"""The simulator's checks detect the faults for which they are made."""
 
 from roadhead.local.world import World
 
 
-def test_a_job_left_waiting_beside_room_is_noticed():
-    """All controllers end for good while a job waits for machines, which the lease of these then empties."""
+def test_a_job_left_waiting_despite_free_machines_is_noticed():
+    """All controllers crash and stay down while a job waits. The workers' leases expire and free machines,
+    on which nobody starts the job."""
     world = World("""
     settled 30
     capacity 1
@@ -18,7 +19,7 @@
     assert any("left_waiting: req-000002" in fault for fault in world.violations)
 
 
-def test_nothing_is_left_waiting_where_there_is_no_room():
+def test_waiting_without_free_machines_is_no_violation():
     world = World("""
     settled 10
     capacity 1
@@ -28,8 +29,9 @@
     assert world.violations == [] and world.users["req-000001"].last_state != "done"
 
 
-def test_a_mute_worker_keeps_no_lease_and_is_reached_by_commands():
-    """Its tasks are killed by its lease, and asked about it still answers."""
+def test_a_muted_worker_loses_its_lease_and_answers_commands():
+    """A muted worker's reports are lost, so that its lease expires and its tasks are killed. Commands still
+    reach it and it answers them."""
     world = World("""
     at 1 submit legs=4 runS=100
     at 30 mute 1 40
