--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -277,26 +277,26 @@
     st.integers(20, 300),
     st.integers(0, 1000),
 )
-def test_borrowed_capacity_converges_to_weighted_shares(weights, room, seed):
+def test_borrowed_capacity_converges_to_weighted_shares(weights, capacity, seed):
     """Progressive filling: a tenant exceeds its share by a quantum at most, so it ends within one of it."""
     held = dict.fromkeys((f"{number}/x" for number in weights), 0.0)
     rng = random.Random(seed)
-    room = min(room, 100)
-    for _ in range(room * 2):
+    capacity = min(capacity, 100)
+    for _ in range(capacity * 2):
         teams = {number: (weight, {"x": 0}) for number, weight in weights.items()}
         fair_share, _ = make_fair_share(teams, held)
         jobs = [WaitingJob(name, 10_000) for name in held]
         rng.shuffle(jobs)
         fair_share.assign_positions(jobs)
         first = min(jobs, key=lambda job: job.queue_position)
-        count = min(first.round_allowance, room - int(sum(held.values())))
+        count = min(first.round_allowance, capacity - int(sum(held.values())))
         if count <= 0:
             break
         held[first.team] += count
-    assert sum(held.values()) == room
+    assert sum(held.values()) == capacity
     total = sum(weights.values())
     for number, weight in weights.items():
-        assert abs(held[f"{number}/x"] - room * weight / total) <= 1.6 * weight + 2
+        assert abs(held[f"{number}/x"] - capacity * weight / total) <= 1.6 * weight + 2
 
 
 def test_dominant_share():
@@ -739,9 +739,17 @@
     fair_share = FairShare(hosted, accounts, lambda: (100.0, 0.0, 400.0), 1e6, 1e7)
     member = type("Member", (), {"term": type("Term", (), {"members": ("here", "there")})})
     counters = Counters()
-    again = []
+    scheduled_passes = []
     preemption = Preemption(
-        sim, member, job_store, fair_share, send, counters, lambda: again.append(sim.time), patience, 5.0
+        sim,
+        member,
+        job_store,
+        fair_share,
+        send,
+        counters,
+        lambda: scheduled_passes.append(sim.time),
+        patience,
+        5.0,
     )
     return preemption, job_store, send, sim
 
