--- a/roadhead/admission/feasibility.py
+++ b/roadhead/admission/feasibility.py
@@ -16,7 +16,7 @@
     description = msgspec.structs.replace(spec, upstream=None)
     if size_of(description) > value_bytes:
         return "its description is larger than the state service takes"
-    if _above_limits(spec, teams.most(spec.team)):
+    if _above_limits(spec, teams.limits_of(spec.team)):
         return "more than the team's limit"
     if not any(_fits(spec, kind) for kind in types.values()):
         return "fits no machine type"
--- a/roadhead/api/answers.py
+++ b/roadhead/api/answers.py
@@ -96,7 +96,7 @@
         return Answer(UNAVAILABLE, messages.error(TEXTS[self.cause]), self.retry_after)
 
 
-def refusal_of(error):
+def to_refusal(error):
     """Returns the RefusedError for an exception of UNCERTAIN_ERRORS (docs/design.md, safety rule 5)."""
     if isinstance(error, RefusedError):
         return error
@@ -112,7 +112,7 @@
 UNCERTAIN_ERRORS = (RefusedError, UnavailableError, UnknownOutcomeError, ConflictError, Timeout)
 
 
-def counter_of(question, cause):
+def counter_name(question, cause):
     """Returns the name of the counter for requests of a kind that are refused for `cause`."""
     return f"refused_{question.value}_{cause.value}"
 
@@ -120,7 +120,7 @@
 def refusal_events():
     """Returns {counter name: text in the summary} for all kinds of requests and causes."""
     return {
-        counter_of(question, cause): f"{question.value}s answered 503: {TEXTS[cause]}"
+        counter_name(question, cause): f"{question.value}s answered 503: {TEXTS[cause]}"
         for question in RequestKind
         for cause in Cause
     }
--- a/roadhead/api/cancellation_writer.py
+++ b/roadhead/api/cancellation_writer.py
@@ -3,14 +3,15 @@
 from itertools import islice
 from typing import NamedTuple
 
-from roadhead.jobs.job import FINAL, KEY, cancelled_record
+from roadhead.jobs.job import FINAL, RECORD_PREFIX, cancelled_record
 from roadhead.jobs.records import find
-from roadhead.pipelines.ancestry import CANCELS
+from roadhead.pipelines.ancestry import CANCELLATION_COUNTER
 from roadhead.runtime.loop import Future
 from roadhead.state.client import ConflictError, UnavailableError, UnknownOutcomeError
 
 MARK_PREFIX = "c/x/"
-WRITES_PER_JOB = 2  # the final record and the cancellation mark; all jobs share the write to CANCELS
+# the final record and the cancellation mark; all jobs share the write to CANCELLATION_COUNTER
+WRITES_PER_JOB = 2
 MIN_WAIT_S = 0.001  # shorter waits aren't worth a timer
 FULL_BURST_FRACTION = 0.9  # fraction of the write burst; the bucket doesn't always fill up completely
 
@@ -131,12 +132,15 @@
 
     async def _write(self, batch, records):
         final = {job_id: cancelled_record(record) for job_id, (record, _stamp) in records.items()}
-        writes = [{"put": CANCELS, "data": next(iter(final))}]
+        writes = [{"put": CANCELLATION_COUNTER, "data": next(iter(final))}]
         for job_id, record in final.items():
-            writes += [{"put": KEY + job_id, "data": record}, {"put": MARK_PREFIX + job_id, "data": True}]
+            writes += [
+                {"put": RECORD_PREFIX + job_id, "data": record},
+                {"put": MARK_PREFIX + job_id, "data": True},
+            ]
         try:
             revision = await self._state.multi(
-                [(KEY + job_id, stamp) for job_id, (_record, stamp) in records.items()], writes
+                [(RECORD_PREFIX + job_id, stamp) for job_id, (_record, stamp) in records.items()], writes
             )
         except ConflictError as conflict:
             self._handle_conflict({job_id: batch[job_id] for job_id in final}, conflict)
@@ -149,7 +153,7 @@
 
     def _handle_conflict(self, batch, conflict):
         """Nothing was written: fails the jobs whose record changed and retries the others."""
-        changed = {job_id for job_id in batch if KEY + job_id in conflict.failed} or batch.keys()
+        changed = {job_id for job_id in batch if RECORD_PREFIX + job_id in conflict.failed} or batch.keys()
         for job_id, future in batch.items():
             if job_id in changed:
                 future.fail(conflict)
--- a/roadhead/api/readiness.py
+++ b/roadhead/api/readiness.py
@@ -41,7 +41,7 @@
     def _state_fails(self):
         return self._node.state.failing_for_s() > self._patience_s
 
-    def changed(self):
+    def wake_waiting(self):
         """Wakes waiting requests: this controller has joined, or learned the machine types."""
         for future in list(self._waiting):
             future.set()
--- a/roadhead/api/server.py
+++ b/roadhead/api/server.py
@@ -12,8 +12,8 @@
     Cause,
     RefusedError,
     RequestKind,
-    counter_of,
-    refusal_of,
+    counter_name,
+    to_refusal,
 )
 from roadhead.api.cancellations import Cancellations
 from roadhead.api.job_states import JobStates
@@ -146,7 +146,7 @@
                 raise NEWER_FORMAT
             return await answer(argument)
         except UNCERTAIN_ERRORS as error:
-            refusal = refusal_of(error)
+            refusal = to_refusal(error)
             log.debug("%s answered 503, cause %s: %r", question.value, refusal.cause.value, error)
-            self._node.counters.add(counter_of(question, refusal.cause))
+            self._node.counters.add(counter_name(question, refusal.cause))
             return refusal.answer()
--- a/roadhead/api/submissions.py
+++ b/roadhead/api/submissions.py
@@ -81,7 +81,7 @@
         fault = self._node.infeasibility_of(spec)
         if fault or not spec.upstream:
             return fault, False
-        return await self._node.ancestry.admission(spec, self._node.visibility_check(spec))
+        return await self._node.ancestry.check_submission(spec, self._node.visibility_check(spec))
 
     def _tenant_refusal(self, spec):
         """Returns the Answer if the job exceeds its tenant's limits, else None."""
--- a/roadhead/cli.py
+++ b/roadhead/cli.py
@@ -291,7 +291,7 @@
     if args.verb == "scale-part":
         from roadhead.scale import command
 
-        return command.part(args.arguments)
+        return command.run_process(args.arguments)
     if args.verb == "local-part":
         from roadhead.local import processes
 
--- a/roadhead/cloud/client.py
+++ b/roadhead/cloud/client.py
@@ -5,7 +5,7 @@
 
 from roadhead.runtime.rate import Bucket
 from roadhead.wire import messages
-from roadhead.wire.http import Client, NoResponseError
+from roadhead.wire.http import HttpClient, NoResponseError
 
 
 class CloudError(Exception):
@@ -24,7 +24,7 @@
     """`limits`: the cloud's limits for the whole deployment, which `nodes` controllers share equally."""
 
     def __init__(self, loop, net, address, limits, nodes):
-        self._http = Client(loop, net, address, max_idle=2)
+        self._http = HttpClient(loop, net, address, max_idle=2)
         rate = limits.rps / nodes
         self._bucket = Bucket(loop, 0.95 * rate, 2 * rate)
 
--- a/roadhead/dispatch/demand_broadcast.py
+++ b/roadhead/dispatch/demand_broadcast.py
@@ -1,7 +1,7 @@
 """Announces one controller's demand, the tasks that wait there, to all shard leaders and to the renter."""
 
 from roadhead.dispatch.headroom import SharedHeadroom, WaitingTasks
-from roadhead.fleet.provisioning import DOUBTFUL
+from roadhead.fleet.provisioning import SUSPECTED_FAULTY_URGENCY
 from roadhead.fleet.quota_limits import QuotaMark, encode_urgency
 from roadhead.wire import frames
 
@@ -139,7 +139,7 @@
         The leading task is split from the others; where teams share the fleet, tasks within the team's
         guarantee are split from those that borrow.
         """
-        rank = DOUBTFUL if job.suspected_faulty else job.rank
+        rank = SUSPECTED_FAULTY_URGENCY if job.suspected_faulty else job.rank
         count = max(1, job.startable() - job.reserved_tasks)
         if job.first_task_leads and startable:
             first = WaitingTasks(job, 1, rank, job.queue_position, True, first_task_leads=True)
--- a/roadhead/dispatch/dispatcher.py
+++ b/roadhead/dispatch/dispatcher.py
@@ -88,7 +88,7 @@
         counters,
         gap_s,
         window_s,
-        default_aim_s,
+        default_target_s,
     ):
         self._loop = loop
         self.label = label
@@ -100,7 +100,7 @@
         self._window_s = window_s
         self.idle = {}  # machine -> GrantedMachine
         self._placing = False
-        self.queue = JobQueue(loop, job_store, class_targets, default_aim_s, gap_s, window_s)
+        self.queue = JobQueue(loop, job_store, class_targets, default_target_s, gap_s, window_s)
         self.preemption = None  # set where teams share by guarantee and weight: reclaims guaranteed room
         self._gang_reservations = GangReservations(loop, window_s, random, self.schedule_placement)
         self._demand_broadcaster = DemandBroadcaster(
@@ -122,13 +122,13 @@
         """Schedules a placing pass, unless one is scheduled already."""
         if not self._placing:
             self._placing = True
-            self._loop.call_soon(self._place)
+            self._loop.call_soon(self._run_placement)
 
     # The idle list
 
     def on_grant(self, frame):
         """A shard leader grants a machine, or reports the new room of a granted one."""
-        until = self._loop.now() + frame.lapse_s
+        until = self._loop.now() + frame.lifetime_s
         listing = self.idle.get(frame.machine)
         if listing is None or listing.serial != frame.serial:
             listing = self.idle[frame.machine] = GrantedMachine(frame, until)
@@ -201,7 +201,7 @@
             return in_zone < (spec.tasks + 1) // 2
         return True
 
-    def _place(self):
+    def _run_placement(self):
         """Runs one placing pass: starts what fits, in queue order, and returns grants that nothing fits.
 
         Its cost grows with the tasks placed and the jobs ahead of them in the queue, not with all that
@@ -229,8 +229,8 @@
             self._finish(left, starts)
         self._demand_broadcaster.broadcast()
         if self.preemption is not None:
-            self.preemption.waits(
-                [job for job in self.queue.waiting() if job.within_guarantee > 0 and self.may_start(job)]
+            self.preemption.on_waiting_within_guarantee(
+                [job for job in self.queue.waiting() if job.within_guarantee > 0 and self.quota_admits(job)]
             )
 
     def _collect_open_listings(self):
@@ -266,13 +266,13 @@
                     elif job.unstarted.left and job.placement_key not in unplaceable:
                         self._start_tasks_of(job, with_image, starts)
             for job in group:
-                if job.placement_key not in unplaceable and job.startable() > 0 and self.may_start(job):
+                if job.placement_key not in unplaceable and job.startable() > 0 and self.quota_admits(job):
                     left[job.placement_key] = job
         return left
 
-    def may_start(self, job):
+    def quota_admits(self, job):
         """Whether the job's team limit admits one more of its tasks, or all of them for a gang."""
-        if not self._job_store.quota.limited(job.spec.team):
+        if not self._job_store.quota.is_limited(job.spec.team):
             return True
         return fitting_count(job.resources, self._job_store.quota.headroom(job.spec.team)) >= (
             len(job.unstarted) if job.gang else 1
@@ -304,7 +304,7 @@
 
     def _start_gang(self, job, starts):
         """Starts all of a gang's tasks, or reserves the listings that fit until there are enough."""
-        if not self.may_start(job) or (self.queue.fair_share is not None and job.round_allowance <= 0):
+        if not self.quota_admits(job) or (self.queue.fair_share is not None and job.round_allowance <= 0):
             return
         chosen, is_complete = place_gang(job, self._fitting(job), self._random)
         if not is_complete:
@@ -349,7 +349,7 @@
         unshared = self.queue.fair_share is None
         left = None
         started = False
-        if self._job_store.quota.limited(spec.team):
+        if self._job_store.quota.is_limited(spec.team):
             left = self._job_store.quota.headroom(spec.team)
         while job.unstarted and fitting and (unshared or job.round_allowance > 0):
             index = self._random.randrange(len(fitting))
@@ -401,7 +401,7 @@
                 del self.idle[listing.id]
                 if not listing.taken and not listing.unacked:
                     if may_start_any is None:
-                        may_start_any = any(self.may_start(job) for job in self.queue.waiting())
+                        may_start_any = any(self.quota_admits(job) for job in self.queue.waiting())
                     if may_start_any:
                         # The leader counted waiting tasks as served by this grant, so send the demand again.
                         self._demand_broadcaster.invalidate()
--- a/roadhead/dispatch/headroom.py
+++ b/roadhead/dispatch/headroom.py
@@ -37,7 +37,7 @@
 
     def share(self, parts):
         """Sets `within` and `mark` of each part. `parts` come in the order in which they would start."""
-        limited = [part for part in parts if self._quota.limited(part.job.spec.team)]
+        limited = [part for part in parts if self._quota.is_limited(part.job.spec.team)]
         for part in limited:
             part.within = self._take(part.job, part.count)
         for part in limited:
@@ -45,7 +45,7 @@
 
     def _mark(self, team):
         levels = self._levels_by_team[team]
-        if levels is None or not self._quota.counted(team):
+        if levels is None or not self._quota.is_counted(team):
             return QuotaMark.PENDING
         return QuotaMark.PLAIN if self._exhausted.isdisjoint(levels) else QuotaMark.WITHIN
 
@@ -75,7 +75,7 @@
     def _levels_of(self, team):
         """Returns the names of the team's levels, whose headroom is known from then on, or None."""
         if team not in self._levels_by_team:
-            headroom = self._quota.level_rooms(team)
+            headroom = self._quota.headroom_by_level(team)
             self._levels_by_team[team] = None if headroom is None else tuple(headroom)
             for name, free in (headroom or {}).items():
                 self._free_by_level.setdefault(name, free)
--- a/roadhead/dispatch/job_queue.py
+++ b/roadhead/dispatch/job_queue.py
@@ -8,7 +8,7 @@
 import math
 from bisect import insort
 
-from roadhead.jobs.job_store import LARGER_PART
+from roadhead.jobs.job_store import LARGER_ONE_IN
 
 NO_TARGETS = ((), (), ())
 # A target counts as missed once less than this part of the job's estimated run time is left until it.
@@ -31,16 +31,16 @@
 class JobQueue:
     """The jobs owned here, ordered by urgency and by slack: the time until their tasks must start.
 
-    `targets`: {class: ClassTargets}; `default_aim_s`: the target assumed for a class without one; `gap_s`:
+    `targets`: {class: ClassTargets}; `default_target_s`: the target assumed for a class without one; `gap_s`:
     how long an order is reused; `window_s`: the unit of positions: jobs due within it of one another count as
     equally urgent; `capacity()`: the CPUs of this controller's part of the fleet.
     """
 
-    def __init__(self, loop, job_store, targets, default_aim_s, gap_s, window_s):
+    def __init__(self, loop, job_store, targets, default_target_s, gap_s, window_s):
         self._loop = loop
         self._job_store = job_store
         self._class_targets = targets
-        self._default_aim_s = default_aim_s
+        self._default_target_s = default_target_s
         self._gap_s = gap_s
         self._window_s = window_s
         self._sorted_jobs = []  # the open jobs when it was last sorted, and those that arrived since
@@ -88,14 +88,17 @@
         for at, (latest_start_s, given_up_s) in enumerate(targets):
             if given_up_s >= age_s:
                 deferral_s = (
-                    targets[at + 1][0] - latest_start_s if at + 1 < len(targets) else self._default_aim_s
+                    targets[at + 1][0] - latest_start_s if at + 1 < len(targets) else self._default_target_s
                 )
                 return latest_start_s - age_s, deferral_s
         age_s -= job.released_at - job.accepted_at
         if not targets and job.spec.kind != "daemon":
-            return NO_TARGET_SLACK_FACTOR * self._default_aim_s - AGING_RATE * age_s, self._default_aim_s
-        overdue_slack = max(self._default_aim_s, targets[-1][0] if targets else 0.0) - AGING_RATE * age_s
-        return overdue_slack, self._default_aim_s
+            return (
+                NO_TARGET_SLACK_FACTOR * self._default_target_s - AGING_RATE * age_s,
+                self._default_target_s,
+            )
+        overdue_slack = max(self._default_target_s, targets[-1][0] if targets else 0.0) - AGING_RATE * age_s
+        return overdue_slack, self._default_target_s
 
     def _set_position(self, job):
         """Sets the job's position, lower ones first. Returns the same as `_slack_and_deferral`."""
@@ -170,7 +173,7 @@
         overload, are boosted sooner, but for one task each, since all of their tasks would cost the most.
         """
         now = self.time_of_day()
-        starved_before = now - STARVATION_FACTOR * self._default_aim_s
+        starved_before = now - STARVATION_FACTOR * self._default_target_s
         begun_by = now - LARGE_JOB_WAIT_WINDOWS * self._window_s
         starved, places, leading = {}, {}, {}
         for job in self._job_store.jobs.values():
@@ -184,7 +187,7 @@
                 and self._job_store.among_largest(job)
             ):
                 starved.setdefault(("largest", job.spec.klass), []).append(job)
-            if not job.bound and not job.done.count and self._job_store.among_largest(job, LARGER_PART):
+            if not job.bound and not job.done.count and self._job_store.among_largest(job, LARGER_ONE_IN):
                 leading[job] = (
                     STARVED_TIER * TIER_STEP_WINDOWS * self._window_s + job.released_at - starved_before
                 )
--- a/roadhead/dispatch/targets.py
+++ b/roadhead/dispatch/targets.py
@@ -9,13 +9,13 @@
 class ClassTargets(NamedTuple):
     """The time targets of one job class, in the order of the settings.
 
-    `within`: seconds in which a job must finish; `times`: multiples of a job's own deadline by which it must
-    finish; `waits`: seconds in which its tasks must start.
+    `within`: seconds in which a job must finish; `deadline_factors`: multiples of a job's own deadline by
+    which it must finish; `start_within`: seconds in which its tasks must start.
     """
 
     within: list
-    times: list
-    waits: list
+    deadline_factors: list
+    start_within: list
 
 
 def shortest_targets(objectives):
@@ -37,7 +37,7 @@
         if objective.kind == "finished" and objective.within_s:
             targets.within.append(objective.within_s)
         elif objective.kind == "wait" and objective.within_s:
-            targets.waits.append(objective.within_s)
+            targets.start_within.append(objective.within_s)
         elif objective.kind == "deadline":
-            targets.times.append(objective.times)
+            targets.deadline_factors.append(objective.times)
     return by_class
--- a/roadhead/fleet/fleet.py
+++ b/roadhead/fleet/fleet.py
@@ -28,7 +28,7 @@
     """The fleet as one controller sees it, and its duties towards the cloud.
 
     `tuning`: the table `fleet` of the operators' settings; `shortest_targets`: {class: its shortest time
-    target in seconds}; `default_aim_s`: the target assumed for the other classes.
+    target in seconds}; `default_target_s`: the target assumed for the other classes.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         deployment,
         tuning,
         shortest_targets,
-        default_aim_s,
+        default_target_s,
         random,
         counters,
     ):
@@ -56,7 +56,7 @@
         # report from each machine once per report interval.
         self._max_machines = tuning.largest or deployment.nodes * deployment.quota.fd_limit
         self._shortest_targets = shortest_targets
-        self._default_aim_s = default_aim_s
+        self._default_target_s = default_target_s
         self._random = random
         self._count = counters.add
         self.types = {}
@@ -260,7 +260,7 @@
                 wait_s = self._tuning.drain_ratio * target_s
             else:
                 wait_s = max(slack, self._tuning.drain_ratio * estimate_s)
-                wait_s = min(wait_s, self._tuning.drain_ratio * self._default_aim_s)
+                wait_s = min(wait_s, self._tuning.drain_ratio * self._default_target_s)
             key = (rank, mark, cpus, gpus, memory, spot, zone, tuple(types), klass)
             request = requests.get(key)
             if request is None:
--- a/roadhead/fleet/provisioning.py
+++ b/roadhead/fleet/provisioning.py
@@ -2,7 +2,7 @@
 
 from roadhead.fleet.quota_limits import QuotaMark
 
-DOUBTFUL = 4  # urgency of jobs that fail wherever they run; the protocol's own are below
+SUSPECTED_FAULTY_URGENCY = 4  # urgency of jobs that fail wherever they run; the protocol's own are below
 
 
 class InstanceOffer:
@@ -120,7 +120,7 @@
         )
         if not offers_by_price:
             continue
-        if request.rank == DOUBTFUL and any(
+        if request.rank == SUSPECTED_FAULTY_URGENCY and any(
             count and request.slots(by_key[key])
             for pool in (machines, coming)
             for key, count in pool.items()
--- a/roadhead/frame_router.py
+++ b/roadhead/frame_router.py
@@ -74,9 +74,11 @@
             frames.HandoverMachines: lambda _label, _incarnation, frame: shard_leader.on_handover(frame),
             frames.HandoverJobs: lambda _label, _incarnation, frame: shard_leader.on_handover_jobs(frame),
             frames.MachineCounts: on_home_news,
-            frames.JobsEnded: lambda _label, _incarnation, frame: job_store.dependency_queue.on_over(frame),
+            frames.JobsEnded: lambda _label, _incarnation, frame: job_store.dependency_queue.on_jobs_ended(
+                frame
+            ),
             frames.UpstreamPriorities: lambda _label, _incarnation, frame: (
-                job_store.dependency_queue.on_wishes(frame)
+                job_store.dependency_queue.on_upstream_priorities(frame)
             ),
             frames.StateLimitsLowered: lambda _label, _incarnation, _frame: self._on_lowered(),
             frames.SummaryPart: lambda label, _incarnation, frame: summary.on_news(label, frame),
--- a/roadhead/gateway/admin_api.py
+++ b/roadhead/gateway/admin_api.py
@@ -2,7 +2,7 @@
 
 import re
 
-from roadhead.gateway.answers import NOT_SURE, UNKNOWN_KEY, ProblemError
+from roadhead.gateway.answers import UNCERTAIN, UNKNOWN_KEY, ProblemError
 from roadhead.gateway.routes import Route, Routes
 from roadhead.gateway.tenants_api import authenticate
 from roadhead.gateway.types import (
@@ -22,8 +22,8 @@
 from roadhead.tenants.records import (
     ADMIN_SCOPES,
     ADMINISTRATORS,
-    NAME,
-    NEXT,
+    NAME_PREFIX,
+    NEXT_NUMBER_KEY,
     REMOVED,
     REMOVING,
     TENANT_SCOPES,
@@ -125,7 +125,7 @@
         try:
             return await getattr(self, f"_{route.name}")(request, request_key, **values)
         except (UnavailableError, UnknownOutcomeError):
-            raise NOT_SURE from None
+            raise UNCERTAIN from None
         except InvalidTenantError as error:
             raise ProblemError(422, "what is asked for contradicts itself", faults=error.faults) from None
 
@@ -144,7 +144,7 @@
     async def _load(self, name):
         """Returns the stored (Tenant, stamp) by name. Raises ProblemError 404 or 410."""
         number, _stamp = (
-            await self._state.get(NAME + name)
+            await self._state.get(NAME_PREFIX + name)
             if name.isascii() and name.replace("-", "").isalnum()
             else (None, 0)
         )
@@ -158,11 +158,11 @@
     async def _load_number(self, number):
         """Returns the stored (Tenant, stamp) by number.
 
-        Raises NOT_SURE if there is none, as a name's record refers to it.
+        Raises UNCERTAIN if there is none, as a name's record refers to it.
         """
         record, stamp = await self._state.get(tenant_key(number))
         if record is None:
-            raise NOT_SURE
+            raise UNCERTAIN
         self._table.take(tenant_key(number), record, stamp)
         return from_record(record), stamp
 
@@ -244,20 +244,20 @@
             except UnknownOutcomeError:
                 if not request_key:
                     raise
-        raise NOT_SURE
+        raise UNCERTAIN
 
     async def _create(self, request, request_key):
         wanted = request.read(NewTenant)
         Tenant(1, wanted.name, teams=wanted.teams, limits=wanted.limits, weight=wanted.weight).check()
         for _ in range(MAX_ATTEMPTS):
-            named, name_stamp = await self._state.get(NAME + wanted.name)
+            named, name_stamp = await self._state.get(NAME_PREFIX + wanted.name)
             if named is not None:
                 tenant, _stamp = await self._load_number(named)
                 if request_key and request_key in tenant.requests:
                     return 201, view(tenant), tenant.version
                 if tenant.state != REMOVED:
                     raise ProblemError(409, "the name is taken")
-            number, number_stamp = await self._state.get(NEXT)
+            number, number_stamp = await self._state.get(NEXT_NUMBER_KEY)
             number = number or 1
             if number > MOST_TENANTS:
                 raise ProblemError(422, "no numbers are left: each is given once")
@@ -273,14 +273,17 @@
                 await self._store(
                     tenant,
                     0,
-                    [(NAME + wanted.name, name_stamp), (NEXT, number_stamp)],
-                    [{"put": NAME + wanted.name, "data": number}, {"put": NEXT, "data": number + 1}],
+                    [(NAME_PREFIX + wanted.name, name_stamp), (NEXT_NUMBER_KEY, number_stamp)],
+                    [
+                        {"put": NAME_PREFIX + wanted.name, "data": number},
+                        {"put": NEXT_NUMBER_KEY, "data": number + 1},
+                    ],
                 )
                 return 201, view(tenant), tenant.version
             except (ConflictError, UnknownOutcomeError) as error:
                 if isinstance(error, UnknownOutcomeError) and not request_key:
                     raise
-        raise NOT_SURE
+        raise UNCERTAIN
 
     async def _change(self, request, request_key, name):
         match = ETAG.match(request.headers.get("if-match", ""))
--- a/roadhead/gateway/answers.py
+++ b/roadhead/gateway/answers.py
@@ -26,7 +26,7 @@
 
 
 UNKNOWN_KEY = ProblemError(401, "no good key", headers=[("WWW-Authenticate", "Bearer")])
-NOT_SURE = ProblemError(503, "not able to say now", 1)
+UNCERTAIN = ProblemError(503, "not able to say now", 1)
 
 
 class Request:
--- a/roadhead/gateway/controllers.py
+++ b/roadhead/gateway/controllers.py
@@ -2,10 +2,10 @@
 
 import logging
 
-from roadhead.gateway.answers import NOT_SURE
+from roadhead.gateway.answers import UNCERTAIN
 from roadhead.runtime.loop import Timeout
 from roadhead.wire import messages
-from roadhead.wire.http import Client, NoResponseError
+from roadhead.wire.http import HttpClient, NoResponseError
 
 log = logging.getLogger("roadhead.controllers")
 
@@ -18,7 +18,9 @@
 
     def __init__(self, loop, net, fronts, secrets, term, time_of_day, random):
         self._loop = loop
-        self._clients = {label: Client(loop, net, address, max_idle=32) for label, address in fronts.items()}
+        self._clients = {
+            label: HttpClient(loop, net, address, max_idle=32) for label, address in fronts.items()
+        }
         self._secrets = secrets
         self._term = term  # () -> Term
         self._time_of_day = time_of_day
@@ -67,7 +69,7 @@
                 continue
             if status < 500:
                 return status, answer, headers
-        raise NOT_SURE
+        raise UNCERTAIN
 
     async def ask_all(self, target, within_s=2.0):
         """Returns the 200 answers of all controllers that answer in time."""
--- a/roadhead/gateway/gateway.py
+++ b/roadhead/gateway/gateway.py
@@ -5,7 +5,7 @@
 import time
 
 from roadhead.gateway.admin_api import AdminApi
-from roadhead.gateway.answers import JSON, NOT_SURE, ProblemError, Request, answer, problem
+from roadhead.gateway.answers import JSON, UNCERTAIN, ProblemError, Request, answer, problem
 from roadhead.gateway.controllers import Controllers
 from roadhead.gateway.tenants_api import TenantsApi
 from roadhead.gateway.watch import Watch
@@ -90,10 +90,10 @@
         except ValueError:  # the query has more fields than any path takes
             return problem(ProblemError(400, "the target can't be read"), JSON)
         if request.parts == ["ready"]:
-            return (200 if self.watch.fresh() else 503), b"", None
+            return (200 if self.watch.is_fresh() else 503), b"", None
         try:
-            if not self.watch.fresh():
-                raise NOT_SURE
+            if not self.watch.is_fresh():
+                raise UNCERTAIN
             status, value, version = await handle(request)
         except ProblemError as refused:
             return problem(refused, request.media)
--- a/roadhead/gateway/tenants_api.py
+++ b/roadhead/gateway/tenants_api.py
@@ -1,9 +1,9 @@
 """The tenants' API: a tenant's jobs, by its own job ids. Answers contain nothing about other tenants."""
 
-from roadhead.gateway.answers import NOT_SURE, UNKNOWN_KEY, ProblemError
+from roadhead.gateway.answers import UNCERTAIN, UNKNOWN_KEY, ProblemError
 from roadhead.gateway.routes import Route, Routes
 from roadhead.gateway.types import ClassRow, Job, JobPage, Submission, TeamUse, Usage
-from roadhead.jobs.job import ARCHIVE, FINAL, KEY
+from roadhead.jobs.job import ARCHIVE, FINAL, RECORD_PREFIX
 from roadhead.state.client import UnavailableError, UnknownOutcomeError
 from roadhead.tenants import admission, ids
 from roadhead.tenants.keys import split_key
@@ -74,7 +74,7 @@
     named = split_key(text)
     entry = table.entry(named[0]) if named is not None else None
     key = entry.tenant.key(named[1], now) if entry is not None else None
-    if not secrets.good(text, key):
+    if not secrets.matches(text, key):
         raise UNKNOWN_KEY
     return entry, key
 
@@ -88,7 +88,7 @@
         self._controllers = controllers
         self._state = state
         self._time_of_day = time_of_day
-        self._rates = admission.Rates(loop)
+        self._rates = admission.SubmissionRates(loop)
         self._reading = 0  # tenant records being read to look up unknown keys
 
     async def handle(self, request):
@@ -134,14 +134,14 @@
         return authenticate(self._table, self._secrets, text, self._time_of_day())
 
     async def _read_tenant(self, number):
-        """Refreshes a tenant's record in the table. Raises NOT_SURE, also if too many are being read."""
+        """Refreshes a tenant's record in the table. Raises UNCERTAIN, also if too many are being read."""
         if self._reading >= MAX_CONCURRENT_READS or not self._state.requests.spare(READ_SPARE_BURST):
-            raise NOT_SURE
+            raise UNCERTAIN
         self._reading += 1
         try:
             record, stamp = await self._state.get(tenant_key(number))
         except (UnavailableError, UnknownOutcomeError):
-            raise NOT_SURE from None
+            raise UNCERTAIN from None
         finally:
             self._reading -= 1
         if record is not None:
@@ -152,7 +152,7 @@
         status, answer, headers = await self._controllers.ask(number, method, target, body, within_s)
         if status in (200, 201):
             if answer.get("id") != ids.to_job(number, own):
-                raise NOT_SURE  # another job, which may be another tenant's
+                raise UNCERTAIN  # another job, which may be another tenant's
             return status, Job(own, answer["status"], answer.get("done"), answer.get("running"))
         text = answer.get("error")
         if status == 404:
@@ -162,7 +162,7 @@
         if status in (403, 410, 429) and text in PUBLIC_REFUSALS:
             wait = headers.get("retry-after", "1")
             raise ProblemError(status, text, int(wait) if status == 429 and wait.isdigit() else None)
-        raise NOT_SURE
+        raise UNCERTAIN
 
     async def _submit(self, entry, request):
         tenant = entry.tenant
@@ -200,7 +200,7 @@
             try:
                 items, more, _revision = await self._state.page(prefix, after, MAX_PAGE_SIZE)
             except (UnavailableError, UnknownOutcomeError):
-                raise NOT_SURE from None
+                raise UNCERTAIN from None
             for key, record, _stamp in items:
                 after = key
                 job = job_from_record(number, key[len(place) :], record)
@@ -230,9 +230,9 @@
     def _parse_cursor(number, text):
         """Parses a cursor into (prefix, key to continue after). Raises ProblemError."""
         if not text:
-            return KEY, ""
+            return RECORD_PREFIX, ""
         place, dot, own = text.partition(".")
-        if f"{place}/" not in (KEY, ARCHIVE) or not dot:
+        if f"{place}/" not in (RECORD_PREFIX, ARCHIVE) or not dot:
             raise ProblemError(400, "after: what a page gave as next")
         try:
             return f"{place}/", f"{place}/{ids.to_job(number, own)}" if own else ""
--- a/roadhead/gateway/watch.py
+++ b/roadhead/gateway/watch.py
@@ -15,7 +15,7 @@
 class Watch:
     """Watches the records of tenants and the term.
 
-    Once nothing has been heard for `stale_s`, `fresh()` is false and the gateway refuses all requests:
+    Once nothing has been heard for `stale_s`, `is_fresh()` is false and the gateway refuses all requests:
     otherwise it might accept a revoked key.
     """
 
@@ -29,7 +29,7 @@
         self.term = Term()
         self._term_stamp = 0
 
-    def fresh(self):
+    def is_fresh(self):
         """Returns whether the state service has answered within `stale_s`."""
         return self._loop.now() - self._heard_at < self._stale_s
 
--- a/roadhead/jobs/creation_check.py
+++ b/roadhead/jobs/creation_check.py
@@ -3,7 +3,7 @@
 import logging
 from itertools import islice
 
-from roadhead.jobs.job import ARCHIVE, KEY
+from roadhead.jobs.job import ARCHIVE, RECORD_PREFIX
 from roadhead.runtime.loop import Signal
 from roadhead.state.client import ConflictError, UnavailableError, UnknownOutcomeError
 
@@ -74,7 +74,7 @@
             except ConflictError as error:
                 self.newness_unknown = False
                 for job in batch:
-                    if not {KEY + job.id, ARCHIVE + job.id}.isdisjoint(error.failed):
+                    if not {RECORD_PREFIX + job.id, ARCHIVE + job.id}.isdisjoint(error.failed):
                         await self._settle(job)
             except (UnavailableError, UnknownOutcomeError) as error:
                 log.debug("comparison of %d waiting creations got no result: %r", len(batch), error)
@@ -91,7 +91,7 @@
 
     async def _compare(self, batch):
         """Raises ConflictError unless none of these jobs has a record."""
-        conditions = [(prefix + job.id, 0) for job in batch for prefix in (KEY, ARCHIVE)]
+        conditions = [(prefix + job.id, 0) for job in batch for prefix in (RECORD_PREFIX, ARCHIVE)]
         for left in reversed(range(MAX_ATTEMPTS)):
             try:
                 return await self._state.check_conditions(conditions)
--- a/roadhead/jobs/creation_guards.py
+++ b/roadhead/jobs/creation_guards.py
@@ -5,12 +5,12 @@
     """Guards of a deployment in which creations depend on the term alone."""
 
     @staticmethod
-    def of(_job):
+    def condition_for(_job):
         """Returns the (key, stamp) under which alone the job may be created, or None."""
         return None
 
     @staticmethod
-    def later(_job):
+    def exceeds_guarantee(_job):
         """Returns whether the creation is written after others."""
         return False
 
--- a/roadhead/jobs/deadline_risk.py
+++ b/roadhead/jobs/deadline_risk.py
@@ -39,7 +39,7 @@
             self._late[klass] = self._late.get(klass, 0) + 1
         self._at_risk.discard(job.id)
 
-    def endangered(self, job, now):
+    def is_at_risk(self, job, now):
         """Returns whether, by its estimate, the job cannot be complete in time any more.
 
         A task that still waits takes at least one more run; running tasks take about half of one.
@@ -56,7 +56,7 @@
         for job in jobs:
             entry = counts.setdefault(job.spec.klass, [0, 0])
             entry[0] += 1
-            entry[1] += self.endangered(job, now)
+            entry[1] += self.is_at_risk(job, now)
         return [[klass, *entry] for klass, entry in sorted(counts.items())]
 
     def rows(self, jobs, now, held_back=None):
@@ -69,7 +69,7 @@
         for job in jobs:
             entry = counts.setdefault(job.spec.klass, [0, 0])
             entry[0] += 1
-            if self.endangered(job, now):
+            if self.is_at_risk(job, now):
                 entry[1] += 1
                 if job.id not in self._at_risk:
                     self._at_risk.add(job.id)
--- a/roadhead/jobs/job.py
+++ b/roadhead/jobs/job.py
@@ -8,14 +8,14 @@
 from roadhead.wire import messages
 from roadhead.wire.messages import URGENCIES, JobSpec
 
-KEY = "j/"  # prefix of open records, and of final ones until they are moved
+RECORD_PREFIX = "j/"  # prefix of open records, and of final ones until they are moved
 ARCHIVE = "f/"  # prefix of final records that were moved to the archive
 RANK = {name: rank for rank, name in enumerate(URGENCIES)}
 FINAL = ("done", "cancelled")
 # Format of the records written here, announced with the membership. A job may wait for others only once all
 # members have announced it (membership/format_gate.py).
-FORMAT = 4
-NOBODY = ("", 0)  # owner of a job that its quota leader has yet to take over
+RECORD_FORMAT = 4
+NO_OWNER = ("", 0)  # owner of a job that its quota leader has yet to take over
 # JSON bytes of a record besides the description, with room for some ranges of done tasks.
 RECORD_OVERHEAD_BYTES = 200
 MAX_DOUBTFUL_TASKS = 2  # tasks that may be started at once of a job that seems to fail wherever it runs
@@ -24,10 +24,10 @@
 class Binding:
     """An attempt of a task that is, or may be, on a machine."""
 
-    __slots__ = ("at", "attempt", "held", "machine", "status", "zone")
+    __slots__ = ("attempt", "bound_at", "held", "machine", "status", "zone")
 
-    def __init__(self, machine, zone, attempt, status, at):
-        self.at = at  # when it was bound here, on the loop's clock
+    def __init__(self, machine, zone, attempt, status, bound_at):
+        self.bound_at = bound_at  # when it was bound here, on the loop's clock
         self.machine = machine
         self.zone = zone
         self.attempt = attempt
@@ -225,7 +225,8 @@
             "done": self.done.flat(),
         }
         if self.is_waiting:
-            record["v"] = FORMAT  # a version that does not know `upstream` would start the job too early
+            # a version that does not know `upstream` would start the job too early
+            record["v"] = RECORD_FORMAT
             if self.parts:
                 record["up"] = list(self.parts)
         elif self.released_at != self.accepted_at:
@@ -260,7 +261,7 @@
         record["at"],
         stamp,
         record["done"],
-        inherited=tuple(record["o"]) != NOBODY,
+        inherited=tuple(record["o"]) != NO_OWNER,
         released_at=record.get("rel"),
     )
     job.parts = tuple(record["up"]) if "up" in record else None
--- a/roadhead/jobs/job_store.py
+++ b/roadhead/jobs/job_store.py
@@ -8,7 +8,7 @@
 from bisect import insort
 
 from roadhead.jobs.context import OwnerContext
-from roadhead.jobs.job import FINAL, NOBODY, Binding, Job, from_record
+from roadhead.jobs.job import FINAL, NO_OWNER, Binding, Job, from_record
 from roadhead.jobs.quota import QuotaPartitions
 from roadhead.jobs.reconciliation import Reconciliation
 from roadhead.jobs.task_reports import TaskReports
@@ -20,10 +20,10 @@
 log = logging.getLogger("roadhead.jobs")
 
 CANCEL = "c/x/"  # prefix of cancellation marks
-MAX_FINALS = 20000  # final records kept in memory
-LARGEST_PART = 10  # one in LARGEST_PART jobs of a class counts among its largest
-# One in LARGER_PART counts among the larger: more than a quarter, since other controllers own the rest
-LARGER_PART = 2.5
+MAX_FINAL_RECORDS = 20000  # final records kept in memory
+LARGEST_ONE_IN = 10  # one in LARGEST_ONE_IN jobs of a class counts among its largest
+# One in LARGER_ONE_IN counts among the larger: more than a quarter, since other controllers own the rest
+LARGER_ONE_IN = 2.5
 MAX_SIZES_PER_CLASS = 2000  # sizes kept per class, by which a job is compared
 
 
@@ -130,7 +130,7 @@
             pending = self._creations[spec.id] = Future()
             owner = self._identity
             if not self.quota.owns(spec.team):
-                owner = NOBODY  # the quota leader takes it over
+                owner = NO_OWNER  # the quota leader takes it over
             job = self._being_created[spec.id] = Job(spec, owner, self._time_of_day())
             if not job.is_waiting or self.recorder.fits_record(job):
                 self.recorder.schedule_write(job, URGENT)
@@ -212,7 +212,7 @@
 
     def _on_created(self, job):
         """Starts to own a job just created, or hands it to its quota leader or to the dependency tracking."""
-        if job.owner == NOBODY:
+        if job.owner == NO_OWNER:
             if self.quota.closing:
                 self._without_owner.append(job)
             self._on_orphan(job)
@@ -240,7 +240,7 @@
             return True
         return False
 
-    def among_largest(self, job, part=LARGEST_PART):
+    def among_largest(self, job, part=LARGEST_ONE_IN):
         """Returns whether the job is in the largest 1/`part` of its class and larger than the median."""
         sizes = self._sizes[job.spec.klass]
         size = job.spec.tasks * job.spec.cpus
@@ -284,7 +284,7 @@
 
     def remember_final(self, job_id, record):
         """Keeps the final record of a job that is known to be over; the oldest are forgotten first."""
-        if len(self.final_records) > MAX_FINALS:
+        if len(self.final_records) > MAX_FINAL_RECORDS:
             self.final_records.pop(next(iter(self.final_records)))
         known = job_id in self.final_records
         self.final_records[job_id] = record
@@ -409,7 +409,7 @@
                     self._start_takeover(job)
                 elif (
                     record["o"][0]
-                    and self.quota.limited(job.spec.team)
+                    and self.quota.is_limited(job.spec.team)
                     and job.id in self.dependency_queue.dependencies.jobs
                 ):
                     self._perhaps_started[job] = True
@@ -448,7 +448,7 @@
         """
         if job in self._perhaps_started:
             self.never_started(job)
-            self.quota.read_anew(job.spec.team)
+            self.quota.mark_unread(job.spec.team)
 
     def on_upstream_done(self, job):
         """Starts a job whose dependencies are all durably done.
--- a/roadhead/jobs/quota.py
+++ b/roadhead/jobs/quota.py
@@ -7,7 +7,7 @@
 
 from roadhead.machines.machine import NO_RESOURCES
 
-NO_ROOM = (-1.0, -1.0)  # (cpus, gpus); excludes even a task that takes nothing
+NO_HEADROOM = (-1.0, -1.0)  # (cpus, gpus); excludes even a task that takes nothing
 UNLIMITED = 1e12  # CPUs or GPUs left to a team without a limit on them
 LONG_AGO = -1e9  # on the loop's clock; before any other time
 
@@ -66,7 +66,7 @@
         """Returns whether a partition came from a leader that ended, and not all records were read since."""
         return self.has_limits and bool(self.unread)
 
-    def all_read(self, number, gone_at):
+    def on_all_read(self, number, gone_at):
         """Notes that all records were read under the term with that number.
 
         `gone_at` is when all tasks of the jobs found cancelled are gone, on the loop's clock; None if there
@@ -77,7 +77,7 @@
         self.unread.clear()
         self.scanned = number
 
-    def read_anew(self, team):
+    def mark_unread(self, team):
         """Notes that the tasks of a team's group are unknown until all records are read again."""
         self.unread.add(self._partition(self._teams.group(team)))
         self.unread &= self.held_since.keys()
@@ -130,18 +130,18 @@
         machine: until then there is no headroom. A partition held since a term under which all records were
         read has no jobs but those owned here, whatever changed since.
         """
-        rooms = self.level_rooms(team)
-        if rooms is None or not self.counted(team):
-            return NO_ROOM
+        rooms = self.headroom_by_level(team)
+        if rooms is None or not self.is_counted(team):
+            return NO_HEADROOM
         return tuple(min(parts) for parts in zip((UNLIMITED, UNLIMITED), *rooms.values(), strict=True))
 
-    def counted(self, team):
+    def is_counted(self, team):
         """Returns whether every task of a limited team's group that may be on a machine is known here."""
         group = self._teams.group(team)
         account = self._accounts.get(group)
         return self.knows_partition(self._partition(group)) and not (account and account.unreconciled)
 
-    def level_rooms(self, team):
+    def headroom_by_level(self, team):
         """Returns {level: (cpus, gpus)}: what each limit on the team leaves, by the tasks known so far.
 
         Returns None if no task of the team may be started from here.
@@ -163,7 +163,7 @@
         """Whether any team may have a limit."""
         return self._teams.limited
 
-    def limited(self, team):
+    def is_limited(self, team):
         """Returns whether a team has a limit."""
         return self._teams.group(team) is not None
 
--- a/roadhead/jobs/recorder.py
+++ b/roadhead/jobs/recorder.py
@@ -9,13 +9,13 @@
 import logging
 
 from roadhead.jobs.creation_check import CreationChecker
-from roadhead.jobs.job import ARCHIVE, KEY, awaited_ids, size_of
+from roadhead.jobs.job import ARCHIVE, RECORD_PREFIX, awaited_ids, size_of
 from roadhead.jobs.ranges import Ranges
-from roadhead.jobs.records import SPARE, complete, find
+from roadhead.jobs.records import SPARE_FRACTION, complete, find
 from roadhead.jobs.transactions import PendingDeletes, RecordWrite, Transaction, TransactionPacer
 from roadhead.jobs.write_queue import LATER, SOON, WriteQueue
 from roadhead.membership.member import TENANT, TERM
-from roadhead.pipelines.upstream_parts import PARTS
+from roadhead.pipelines.upstream_parts import PARTS_PREFIX
 from roadhead.runtime.loop import Cancelled, Signal
 from roadhead.state.client import ConflictError, RequestTooLargeError, UnavailableError, UnknownOutcomeError
 
@@ -39,11 +39,11 @@
         on_refused: `on_refused(job)` is called if nothing of a creation was written and never will be.
         on_new: called when more is known about which waiting creations are new (jobs/creation_check.py).
         member: this controller's membership; creations depend on its term.
-        guards: conditions of creations. `guards.of(job)` returns the (key, stamp) under which alone the job
-            may be created, or None. `guards.changed(key, record, stamp)` is told what is stored under that
-            key once the stamp has changed, and returns whether nothing may be created under it any more;
-            `on_refused` is then called for the jobs concerned. `guards.later(job)` returns whether the
-            creation is written after others.
+        guards: conditions of creations. `guards.condition_for(job)` returns the (key, stamp) under which
+        alone the job may be created, or None. `guards.is_creation_forbidden(key, record, stamp)` is told what
+        is stored under that key once the stamp has changed, and returns whether nothing may be created under
+        it any more; `on_refused` is then called for the jobs concerned. `guards.exceeds_guarantee(job)`
+        returns whether the creation is written after others.
         counters: the process's event counters.
     """
 
@@ -149,9 +149,11 @@
         """Duty: writes the scheduled records in transactions, several of which may be under way at once."""
         try:
             while True:
-                await self._pacer.turn()
+                await self._pacer.wait_for_turn()
                 batch = self._batch()
-                if not batch and not (self._pending_deletes.is_due() and self._state.writes.spare(SPARE)):
+                if not batch and not (
+                    self._pending_deletes.is_due() and self._state.writes.spare(SPARE_FRACTION)
+                ):
                     waits = self._queue or self._pending_deletes
                     await self._wake.wait(self._loop, self._progress_s / 4 if waits else None)
                     continue
@@ -220,7 +222,7 @@
         )
         ordinary, deferred = [], []
         for job in self._queue.urgent:
-            if not job.stamp and self._guards.later(job):
+            if not job.stamp and self._guards.exceeds_guarantee(job):
                 deferred.append(job)
                 continue
             ordinary.append(job)
@@ -276,10 +278,10 @@
 
     def _add(self, transaction, job, record, recorded, archived):
         """Adds one job's record and its conditions to a transaction."""
-        transaction.require((KEY + job.id, job.stamp))
+        transaction.require((RECORD_PREFIX + job.id, job.stamp))
         if not job.stamp:
             transaction.require((ARCHIVE + job.id, 0))  # the job may have ended long ago
-            transaction.require(self._guards.of(job))
+            transaction.require(self._guards.condition_for(job))
             transaction.require(job.creation_condition)
         transaction.put(job.id, record, archived)
         self._creation_checker.being_written(job)
@@ -338,7 +340,7 @@
         """
         for entry in transaction.entries:
             job = entry.job
-            record, stamp = await self._state.get(KEY + job.id)
+            record, stamp = await self._state.get(RECORD_PREFIX + job.id)
             if stamp == job.stamp:
                 return False
             if entry.is_stored_as(record):
@@ -358,7 +360,7 @@
             record, stamp = await self._state.get(TERM)
             self._member.adopt(record, stamp)
         entries = transaction.entries
-        guarded = [key for key in failed if key.startswith((PARTS, TENANT))]
+        guarded = [key for key in failed if key.startswith((PARTS_PREFIX, TENANT))]
         if not guarded:
             for entry in entries:
                 if set(entry.keys).isdisjoint(failed):
@@ -368,13 +370,17 @@
                 self._report_conflict(entry, *await find(self._state, entry.job.id))
         for key in guarded:
             left = [entry for entry in entries if self._in_flight.get(entry.job) is entry]
-            if key.startswith(PARTS):
+            if key.startswith(PARTS_PREFIX):
                 await self._refuse(
                     [entry for entry in left if self._depends(entry, entry.job.creation_condition, key)]
                 )
-            elif self._guards.changed(key, *await self._state.get(key)):
+            elif self._guards.is_creation_forbidden(key, *await self._state.get(key)):
                 await self._refuse(
-                    [entry for entry in left if self._depends(entry, self._guards.of(entry.job), key)]
+                    [
+                        entry
+                        for entry in left
+                        if self._depends(entry, self._guards.condition_for(entry.job), key)
+                    ]
                 )
 
     @staticmethod
--- a/roadhead/jobs/records.py
+++ b/roadhead/jobs/records.py
@@ -8,16 +8,16 @@
 
 import logging
 
-from roadhead.jobs.job import ARCHIVE, FINAL, FORMAT, KEY
-from roadhead.pipelines.upstream_parts import whole
+from roadhead.jobs.job import ARCHIVE, FINAL, RECORD_FORMAT, RECORD_PREFIX
+from roadhead.pipelines.upstream_parts import with_upstream
 from roadhead.runtime.loop import Signal
 from roadhead.shards.hashing import rendezvous_choice
-from roadhead.state.client import IDLE_PART, ConflictError, UnavailableError, UnknownOutcomeError
+from roadhead.state.client import IDLE_SHARE, ConflictError, UnavailableError, UnknownOutcomeError
 
 log = logging.getLogger("roadhead.records")
 
 MAX_QUEUED = 2000  # maximum length of the queue; further records are found again by reading pages
-SPARE = 0.75  # fraction of the burst of writes that must be left over
+SPARE_FRACTION = 0.75  # fraction of the burst of writes that must be left over
 
 
 async def find(state, job_id):
@@ -26,7 +26,7 @@
     The stamp is that of the key under `j/`; it is 0 for an archived record, which is never written again.
     Raises UnavailableError or UnknownOutcomeError.
     """
-    record, stamp = await state.get(KEY + job_id)
+    record, stamp = await state.get(RECORD_PREFIX + job_id)
     if record is None:
         record, _stamp = await state.get(ARCHIVE + job_id)
         stamp = 0
@@ -39,9 +39,9 @@
     Raises UnavailableError or UnknownOutcomeError. A record of a newer format also raises UnavailableError,
     and is left alone.
     """
-    if record is not None and record.get("v", 0) > FORMAT:
-        raise UnavailableError(f"record of job {job_id} has format {record['v']}, newer than {FORMAT}")
-    return await whole(state, job_id, record)
+    if record is not None and record.get("v", 0) > RECORD_FORMAT:
+        raise UnavailableError(f"record of job {job_id} has format {record['v']}, newer than {RECORD_FORMAT}")
+    return await with_upstream(state, job_id, record)
 
 
 class RecordArchiver:
@@ -82,8 +82,8 @@
                 await self._wake.wait()
             # No more than what every controller is always left: nobody else's share shrinks by it.
             most = max(1, self._state.batch // 4)
-            await self._loop.sleep(2 * most / (IDLE_PART * writes.rate))
-            if not self._member.joined or not writes.spare(SPARE):
+            await self._loop.sleep(2 * most / (IDLE_SHARE * writes.rate))
+            if not self._member.joined or not writes.spare(SPARE_FRACTION):
                 continue
             try:
                 if self._queue:
@@ -96,16 +96,16 @@
                 log.debug("final records were not moved to the archive: %r", error)
 
     async def _move(self, moves):
-        conditions = [(KEY + job_id, stamp) for job_id, _record, stamp in moves]
+        conditions = [(RECORD_PREFIX + job_id, stamp) for job_id, _record, stamp in moves]
         writes = []
         for job_id, record, _stamp in moves:
-            writes += [{"put": ARCHIVE + job_id, "data": record}, {"drop": KEY + job_id}]
+            writes += [{"put": ARCHIVE + job_id, "data": record}, {"drop": RECORD_PREFIX + job_id}]
         try:
             await self._state.multi(conditions, writes)
             self._count("records_shelved", len(moves))
         except ConflictError as conflict:
             # The others were moved by another controller, or by a write of ours whose answer was lost.
-            self._put_back([move for move in moves if KEY + move[0] not in conflict.failed])
+            self._put_back([move for move in moves if RECORD_PREFIX + move[0] not in conflict.failed])
         except UnknownOutcomeError:
             # A comparison costs no writes, and records that were moved are not moved again.
             await self._compare(moves, conditions)
@@ -117,7 +117,7 @@
         try:
             await self._state.check_conditions(conditions)
         except ConflictError as conflict:
-            moves = [move for move in moves if KEY + move[0] not in conflict.failed]
+            moves = [move for move in moves if RECORD_PREFIX + move[0] not in conflict.failed]
         finally:
             self._put_back(moves)
 
@@ -126,9 +126,9 @@
             self._queue[job_id] = (record, stamp)
 
     async def _read_on(self):
-        items, more, _revision = await self._state.page(KEY, self._after)
+        items, more, _revision = await self._state.page(RECORD_PREFIX, self._after)
         for key, record, stamp in items:
             if record["s"] in FINAL:
-                self.add_if_responsible(key[len(KEY) :], record, stamp)
+                self.add_if_responsible(key[len(RECORD_PREFIX) :], record, stamp)
         if self._after is not None:
             self._after = items[-1][0] if more else None
--- a/roadhead/jobs/task_reports.py
+++ b/roadhead/jobs/task_reports.py
@@ -114,7 +114,7 @@
             report.index,
             job.spec.klass,
             self._context.time_of_day() - job.accepted_at,
-            self._context.loop.now() - binding.at,
+            self._context.loop.now() - binding.bound_at,
             report.machine,
         )
 
--- a/roadhead/jobs/teams.py
+++ b/roadhead/jobs/teams.py
@@ -156,7 +156,7 @@
         """Returns the team with that name, or None."""
         return self._teams.get(name)
 
-    def most(self, name):
+    def limits_of(self, name):
         """Returns (cpus, gpus) of each limit on a known team; 0 means no limit."""
         team = self._teams[name]
         return ((team.cpus_max, team.gpus_max),)
--- a/roadhead/jobs/transactions.py
+++ b/roadhead/jobs/transactions.py
@@ -2,14 +2,14 @@
 
 from dataclasses import dataclass, field
 
-from roadhead.jobs.job import ARCHIVE, KEY, Job
+from roadhead.jobs.job import ARCHIVE, RECORD_PREFIX, Job
 from roadhead.jobs.ranges import Ranges
-from roadhead.jobs.records import SPARE
+from roadhead.jobs.records import SPARE_FRACTION
 from roadhead.runtime.loop import Signal
 
 MAX_PENDING_DELETES = 1000
 MAX_DELETES_PER_TRANSACTION = 2  # deletions in one transaction
-LANES = 8  # transactions under way at once, including those whose outcome is being looked up
+MAX_TRANSACTIONS = 8  # transactions under way at once, including those whose outcome is being looked up
 
 
 @dataclass(eq=False, slots=True)
@@ -28,7 +28,7 @@
     @property
     def keys(self):
         """The keys under which the job's record may be stored."""
-        return KEY + self.job.id, ARCHIVE + self.job.id
+        return RECORD_PREFIX + self.job.id, ARCHIVE + self.job.id
 
     def is_stored_as(self, record):
         """Returns whether that record is the one sent: no other writer names this owner in an open record."""
@@ -52,9 +52,9 @@
     def put(self, job_id, record, archived):
         """Writes the job's record under `j/`, or, if it is `archived`, moves it from there to the archive."""
         if archived:
-            self.writes += [{"put": ARCHIVE + job_id, "data": record}, {"drop": KEY + job_id}]
+            self.writes += [{"put": ARCHIVE + job_id, "data": record}, {"drop": RECORD_PREFIX + job_id}]
         else:
-            self.writes.append({"put": KEY + job_id, "data": record})
+            self.writes.append({"put": RECORD_PREFIX + job_id, "data": record})
 
     def may_archive(self, job, left, state):
         """Returns whether the job's final record is moved to the archive at once.
@@ -68,7 +68,7 @@
             job.state == "done"
             and job.stamp != 0
             and planned + 2 <= state.limits.txn_ops
-            and state.writes.level() - planned >= SPARE * state.writes.burst
+            and state.writes.level() - planned >= SPARE_FRACTION * state.writes.burst
         )
 
     @property
@@ -136,7 +136,7 @@
     def __len__(self):
         return len(self._under_way)
 
-    async def turn(self):
+    async def wait_for_turn(self):
         """Waits until the next transaction may begin."""
         while (left := self._delay_s()) != 0.0:
             await self._ended.wait(self._loop, left)
@@ -146,7 +146,7 @@
         now = self._loop.now()
         if now < self._paused_until:
             return self._paused_until - now
-        if len(self._under_way) >= LANES:
+        if len(self._under_way) >= MAX_TRANSACTIONS:
             return None
         if self._newest not in self._under_way:
             return 0.0
--- a/roadhead/local/cloud_api.py
+++ b/roadhead/local/cloud_api.py
@@ -13,7 +13,7 @@
         self.capacity = capacity
         self.rented = {}  # name -> EmulatedWorker
         self.hires = {}  # idempotency key of a request to rent -> names of the machines
-        self.names = 0  # number of machines ever rented
+        self.machines_rented = 0  # number of machines ever rented
         self.listings = []  # (time, list of machines)
         self.down = False
         self.loop.spawn(self._record_listings(), "history")
@@ -33,7 +33,7 @@
                 "paddock": w.zone,
                 "loaners": w.spot,
                 "status": w.listed(),
-                "ageS": self.sim.time - w.born,
+                "ageS": self.sim.time - w.created_at,
             }
             for w in sorted(self.rented.values(), key=lambda w: w.name)
         ]
@@ -77,10 +77,10 @@
             rented_here = sum(w.kind["name"] == kind_name and w.zone == zone for w in self.rented.values())
             if rented_here >= self.capacity:
                 break
-            self.names += 1
-            name = f"n-{self.names:06d}"
+            self.machines_rented += 1
+            name = f"n-{self.machines_rented:06d}"
             kind = next(k for k in self.machine_types if k["name"] == kind_name)
-            self.rented[name] = self.new_worker(name, self.names, kind, zone, spot)
+            self.rented[name] = self.new_worker(name, self.machines_rented, kind, zone, spot)
             names.append(name)
         return names
 
--- a/roadhead/local/cluster.py
+++ b/roadhead/local/cluster.py
@@ -136,7 +136,7 @@
                 preexec_fn=die_with_parent,
             )
 
-    def mend(self):
+    def restart_ended(self):
         """Restarts the processes that have ended; returns their names."""
         ended = [name for name, process in self.processes.items() if process.poll() is not None]
         for name in ended:
@@ -189,7 +189,7 @@
             return response.status, None
         return response.status, json.loads(data)
 
-    def _insist(self, *request, headers=(), cbor=False):
+    def _request_until_final(self, *request, headers=(), cbor=False):
         """Repeats a request until its response is final. Raises ClusterError after a minute."""
         deadline = time.monotonic() + 60
         while time.monotonic() < deadline:
@@ -203,10 +203,10 @@
         """Creates the tenant of this machine's user once; returns its API key, which nobody else gets."""
         address = self.plan["administration"]
         headers = [("Authorization", f"Bearer {self._secrets.root_key()}")]
-        self._insist(
+        self._request_until_final(
             address, "POST", "/admin/v1/tenants", {"name": TENANT, "teams": [{"name": TEAM}]}, headers=headers
         )
-        _status, answer = self._insist(
+        _status, answer = self._request_until_final(
             address,
             "POST",
             f"/admin/v1/tenants/{TENANT}/keys",
@@ -218,7 +218,7 @@
 
     def ask(self, method, path, body=None):
         """Sends a request to the tenants' API; returns (status, body)."""
-        return self._insist(
+        return self._request_until_final(
             self.plan["tenants"], method, path, body, headers=[("Authorization", f"Bearer {self.key}")]
         )
 
@@ -234,7 +234,7 @@
         Returns the id by which controllers know it. Raises ClusterError if it is refused.
         """
         job_id = self.job_id(job)
-        self._insist(
+        self._request_until_final(
             self.plan["cloud"],
             "POST",
             f"/uploads/{job_id}",
@@ -310,7 +310,7 @@
                 name = random_generator.choice(cluster.plan["labels"])
                 cluster.crash(name)
                 bar.write(f"crashed {name}")
-            cluster.mend()
+            cluster.restart_ended()
             for job_id, job in list(open_jobs.items()):
                 status, answer = cluster.ask("GET", f"/v1/jobs/{job.id}")
                 if status != 200:
@@ -361,7 +361,7 @@
     print(f"state service   {cluster.plan['state']}\ncloud           {cluster.plan['cloud']}", flush=True)
     with contextlib.suppress(KeyboardInterrupt):
         while True:
-            for name in cluster.mend():
+            for name in cluster.restart_ended():
                 print(f"{name} ended and was restarted", flush=True)
             time.sleep(0.5)
     return 0
--- a/roadhead/local/expectations.py
+++ b/roadhead/local/expectations.py
@@ -76,7 +76,7 @@
 def _gone(world, tenant):
     number = world.tenancy.numbers[tenant]
     state = world.state.data[f"c/t/{number:05d}"][0]["state"]
-    remaining_keys = world.tenancy.left_of(number)
+    remaining_keys = world.tenancy.stored_keys(number)
     if state != "removed" or remaining_keys:
         return [
             f"tenant {tenant} is {state} with {len(remaining_keys)} keys stored, expected removed with none"
@@ -132,9 +132,11 @@
 
 
 def _done_before(world, numbers, later):
-    told_at = world.users[job_id(later)].told_at
+    state_changed_at = world.users[job_id(later)].state_changed_at
     return [
-        f"{name} was done after job {later}" for name in _ids(numbers) if world.users[name].told_at > told_at
+        f"{name} was done after job {later}"
+        for name in _ids(numbers)
+        if world.users[name].state_changed_at > state_changed_at
     ]
 
 
@@ -151,7 +153,7 @@
 
 
 def _hired(world, _relation, maximum):
-    return _compare("the number of machines ever rented", world.cloud.names, "<=", maximum)
+    return _compare("the number of machines ever rented", world.cloud.machines_rented, "<=", maximum)
 
 
 def _killed(world, _relation, maximum):
--- a/roadhead/local/fault_injector.py
+++ b/roadhead/local/fault_injector.py
@@ -7,7 +7,7 @@
 from roadhead.local.sim import HostLoop
 from roadhead.membership.member import TERM
 from roadhead.runtime.loop import Timeout
-from roadhead.wire.http import Client, NoResponseError
+from roadhead.wire.http import HttpClient, NoResponseError
 
 CANCELLED_WITHIN_S = 0.2  # cancellations of `cancel-now` are spread over this time
 MAX_HUNG_WORKERS = 8  # workers of cancelled jobs that `cancel-now` makes hang
@@ -83,7 +83,7 @@
 
     async def _post(self, front, body):
         try:
-            await Client(self._loop, self._net, front, 0).request("POST", "/v1/report", body, 4.0)
+            await HttpClient(self._loop, self._net, front, 0).request("POST", "/v1/report", body, 4.0)
         except (NoResponseError, Timeout):
             pass
 
@@ -93,7 +93,7 @@
         """Stops a share of the workers from connecting to controllers."""
         up = [worker for worker in self._world.cloud.rented.values() if worker.up and not worker.dead]
         for worker in self._sim.random.sample(up, round(float(share) * len(up))):
-            worker.mute_until = self._sim.time + float(seconds)
+            worker.outgoing_blocked_until = self._sim.time + float(seconds)
 
     # Cancellations
 
@@ -127,7 +127,7 @@
     def job_ended(self, job):
         """Is called when the last task of a job has completed."""
         user = self._world.users[job["id"]]
-        if self._world.fault_windows.cancelled_at_end.strikes(self._sim) and not user.asked_to_cancel:
+        if self._world.fault_windows.cancelled_at_end.strikes(self._sim) and not user.has_requested_cancel:
             self._cancel(job["id"])
 
     # Polls
--- a/roadhead/local/histories.py
+++ b/roadhead/local/histories.py
@@ -103,7 +103,7 @@
     overlaps: int = 0
     latest: float = 0.0
 
-    def submitted(self, job_id, now):
+    def record_submission(self, job_id, now):
         """Notes that a user submits a job at time `now`."""
         job = self.jobs.setdefault(job_id, JobHistory())
         if job.submitted_at is None:
--- a/roadhead/local/poll_storm.py
+++ b/roadhead/local/poll_storm.py
@@ -25,9 +25,9 @@
         user = users[number % len(users)]
         self.polls += 1
         if number % 5:
-            reply = await user._ask("GET", f"/v1/jobs/{user.id}", None, 2.0)
+            reply = await user._request("GET", f"/v1/jobs/{user.id}", None, 2.0)
             if reply.status == 200 and reply.body["status"] in FINAL:
-                user._hear(reply)
+                user._handle_reply(reply)
         else:
-            reply = await user._ask("GET", f"/v1/jobs/req-{900000 + number % 40}", None, 2.0)
+            reply = await user._request("GET", f"/v1/jobs/req-{900000 + number % 40}", None, 2.0)
         self.answered += reply.status in (200, 404)
--- a/roadhead/local/probes.py
+++ b/roadhead/local/probes.py
@@ -24,9 +24,9 @@
     async def _probe(self, method, via):
         user = self._user
         if method == "GET":
-            user._hear(await user._ask("GET", f"/v1/jobs/{user.id}", None, 2.0, via))
+            user._handle_reply(await user._request("GET", f"/v1/jobs/{user.id}", None, 2.0, via))
         else:
-            user._hear(await user._ask("POST", "/v1/jobs", user.submission(), 5.0, via))
+            user._handle_reply(await user._request("POST", "/v1/jobs", user.submission(), 5.0, via))
 
 
 class InvalidRequests:
@@ -63,7 +63,7 @@
     async def _cancel_done(self):
         user = self._random_user(lambda user: user.last_state == "done")
         if user is not None:
-            user._hear(await user._ask("POST", f"/v1/jobs/{user.id}/cancel", None, 5.0))
+            user._handle_reply(await user._request("POST", f"/v1/jobs/{user.id}/cancel", None, 5.0))
 
     async def _submit_infeasible(self):
         await self._send({"vcpus": 1000.0})
@@ -78,7 +78,7 @@
         job.pop(without, None)
         self.ids.append(job["id"])
         user = world.new_user(job)  # not added to the world's users, so that no check waits for its job
-        status = (await user._ask("POST", "/v1/jobs", user.submission(), 5.0)).status
+        status = (await user._request("POST", "/v1/jobs", user.submission(), 5.0)).status
         if status in (200, 201):
             world.record_violation(
                 "odd_accepted", f"invalid job {job['id']} was answered {status}, expected 400 or 422"
--- a/roadhead/local/processes.py
+++ b/roadhead/local/processes.py
@@ -23,7 +23,7 @@
 from roadhead.local.worker import EmulatedWorker
 from roadhead.runtime.loop import Loop
 from roadhead.runtime.net import READ, Net
-from roadhead.wire.http import Client, NoResponseError
+from roadhead.wire.http import HttpClient, NoResponseError
 
 PR_SET_PDEATHSIG = 1  # from <linux/prctl.h>
 
@@ -72,10 +72,10 @@
     def kill(self, _host):
         """Does nothing: the cloud emulator kills the process."""
 
-    def on_machine(self, task, worker):
+    def on_task_started(self, task, worker):
         """Does nothing: only the simulation checks what runs."""
 
-    off_machine = on_machine
+    on_task_gone = on_task_started
 
     def task_done(self, task):
         """Does nothing: only the simulation checks what has completed."""
@@ -102,7 +102,7 @@
             }
         ]
         super().__init__(world, machine_types, capacity=3, address=world.plan["cloud"])
-        self.names = int(time.time()) * 1000  # names stay unique across restarts
+        self.machines_rented = int(time.time()) * 1000  # names stay unique across restarts
         self._uploads = world.directory / "uploads"
         self._uploads.mkdir(exist_ok=True)
 
@@ -126,7 +126,7 @@
 
     def __init__(self, world, name, kind, zone, spot):
         self.name, self.kind, self.zone, self.spot = name, kind, zone, spot
-        self.born = world.sim.time
+        self.created_at = world.sim.time
         self.tasks = {}  # always empty here: only the worker process knows its tasks
         self.address = free_address()
         self.process = subprocess.Popen(
@@ -159,7 +159,7 @@
 
     def __init__(self, world, name, address, zone, spot):
         kind = {"name": "box", "vcpus": 4, "startupS": 0.05}
-        self._cloud_client = Client(world.loop, Net(world.loop), world.plan["cloud"])
+        self._cloud_client = HttpClient(world.loop, Net(world.loop), world.plan["cloud"])
         self._out = world.directory / "out"
         self._out.mkdir(exist_ok=True)
         self._jobs = {}  # job id -> the upload of its user
--- a/roadhead/local/rules.py
+++ b/roadhead/local/rules.py
@@ -28,7 +28,7 @@
         """Returns whether all tasks of a job have completed."""
         return all(f"{job['id']}/{index}" in self.completed for index in range(job["legs"]))
 
-    def on_machine(self, task, worker):
+    def on_task_started(self, task, worker):
         """Records that a task starts on a worker, and checks whether it may."""
         job = self._world.job_of(task)
         self._check_order(task, job)
@@ -75,7 +75,7 @@
         if max_cpus and team != FREE and sum(job["vcpus"] for job in team_jobs) > max_cpus + 1e-6:
             self.record_violation("quota", f"{task} exceeds cpus_max of team {team}")
 
-    def off_machine(self, task, worker):
+    def on_task_gone(self, task, worker):
         """Records that a task no longer runs on a worker."""
         if self.running.get(task) is worker:
             del self.running[task]
@@ -90,12 +90,12 @@
                     to_visit.append(name)
         return list(seen.values())
 
-    def cancelled_above(self, job_id):
+    def upstream_cancelled_at(self, job_id):
         """Returns the times at which users of upstream jobs first saw the cancellation they had requested."""
         return [
             user.cancelled_seen_at
             for user in self.upstream_users(job_id)
-            if user.asked_to_cancel and user.cancelled_seen_at is not None
+            if user.has_requested_cancel and user.cancelled_seen_at is not None
         ]
 
     async def watch(self):
--- a/roadhead/local/scenario_verbs.py
+++ b/roadhead/local/scenario_verbs.py
@@ -290,4 +290,4 @@
         """Drops all responses and commands to a share of the workers."""
         up = [worker for worker in self._world.cloud.rented.values() if worker.up and not worker.dead]
         for worker in self._sim.random.sample(up, round(float(share) * len(up))):
-            worker.deaf_until = self._sim.time + float(seconds)
+            worker.incoming_lost_until = self._sim.time + float(seconds)
--- a/roadhead/local/sim.py
+++ b/roadhead/local/sim.py
@@ -53,7 +53,7 @@
         self._unread = {}  # receiving stream -> [(callback, its arguments)], read when this iteration ends
         super().__init__(lambda: sim.time * rate + offset, NoSelector())
 
-    def _go(self, fn, args):
+    def _run_or_hold(self, fn, args):
         if not self.alive:
             return
         if self.hung:
@@ -62,14 +62,14 @@
             fn(*args)
 
     def call_soon(self, fn, *args):
-        self.sim.call_soon(self._go, fn, args)
+        self.sim.call_soon(self._run_or_hold, fn, args)
 
     def call_at(self, when, fn, *args):
         timer = Timer(when, fn, args)
 
         def fire():
             if timer.fn is not None:
-                self._go(lambda: timer.fn is not None and timer.fn(*timer.args), ())
+                self._run_or_hold(lambda: timer.fn is not None and timer.fn(*timer.args), ())
 
         delay = max(0.0, (when - self.now()) / self.rate)
         self.sim._push(Timer(self.sim.time + delay, fire, ()))
--- a/roadhead/local/starvation_check.py
+++ b/roadhead/local/starvation_check.py
@@ -66,8 +66,8 @@
         return (
             user.accepted
             and not is_restricted
-            and not user.asked_to_cancel
-            and not any(other.asked_to_cancel for other in self._world.upstream_users(job["id"]))
+            and not user.has_requested_cancel
+            and not any(other.has_requested_cancel for other in self._world.upstream_users(job["id"]))
             and all(self._world.all_completed(upstream_job) for upstream_job in upstream)
         )
 
--- a/roadhead/local/tenancy.py
+++ b/roadhead/local/tenancy.py
@@ -12,7 +12,7 @@
 from roadhead.tenants.admission_controller import TenantAdmissionController
 from roadhead.tenants.keys import Secrets
 from roadhead.tenants.settings import Hosted
-from roadhead.wire.http import Client, NoResponseError
+from roadhead.wire.http import HttpClient, NoResponseError
 
 MASTER = b"a master secret of a virtual world"
 LIMITS_SETTLE_S = 15.0  # time within which every start sent before a change of limits has arrived
@@ -114,7 +114,7 @@
         if not self.gateways:
             return 0, None
         gateway = self._hosted[world.sim.random.choice(list(self.gateways))].gateway
-        client = Client(world.user_loop, world.user_net, getattr(gateway, kind), 0)
+        client = HttpClient(world.user_loop, world.user_net, getattr(gateway, kind), 0)
         data = json.dumps(body).encode() if body is not None else b""
         try:
             status, data, _ = await client.request(
@@ -181,7 +181,7 @@
             self.changed_at[self.numbers[name]] = self.world.sim.time
         elif verb == "remove":
             for user in self.world.users.values():
-                user.asked_to_cancel |= getattr(user, "tenant", None) == name
+                user.has_requested_cancel |= getattr(user, "tenant", None) == name
             status, answer = await self.administrate("DELETE", f"tenants/{name}")
             self.removed_at[self.numbers[name]] = self.world.sim.time
         else:
@@ -235,7 +235,7 @@
         max_cpus = next((own.get("cpus_max") for own in body["teams"] if own["name"] == job["crew"]), 0)
         return (job["tenant"], job["crew"]) if max_cpus and team > max_cpus + 1e-6 else None
 
-    def left_of(self, number):
+    def stored_keys(self, number):
         """Returns the stored keys that belong to a tenant's jobs."""
         return [
             key
@@ -273,7 +273,7 @@
             self.first_accepted_at = self.first_accepted_at or self.world.sim.time
         elif status in (401, 403, 410):
             self.refused_with = status
-            self.gave_up = True
+            self.has_given_up = True
         return status, answer
 
     @property
--- a/roadhead/local/user.py
+++ b/roadhead/local/user.py
@@ -6,7 +6,7 @@
 
 from roadhead.local.histories import FINAL, REFUSED, Answer, RequestKind
 from roadhead.runtime.loop import Timeout
-from roadhead.wire.http import Client, NoResponseError
+from roadhead.wire.http import HttpClient, NoResponseError
 
 SIMULATION_FIELDS = ("runS", "apartS", "faulty")  # fields for the emulated worker, not part of a submission
 
@@ -36,18 +36,18 @@
         self.id = job["id"]
         self.accepted = False
         self.last_state = None  # the job's state in the latest response that counts
-        self.told_at = 0.0  # when that state was first seen
-        self.gave_up = False
-        self.asked_to_cancel = False
+        self.state_changed_at = 0.0  # when that state was first seen
+        self.has_given_up = False
+        self.has_requested_cancel = False
         self.answered_at = 0.0  # time of the last successful response
         self.cancelled_seen_at = None  # when the job was first seen cancelled
 
-    async def _ask(self, method, path, body, timeout, via=None):
+    async def _request(self, method, path, body, timeout, via=None):
         """Sends a request, adds the response to the history of all responses, and returns it as a Reply."""
         world, asked_at = self.world, self.sim.time
         job_id = body["id"] if body is not None else path.split("/")[3]
         if body is not None:
-            world.history.submitted(job_id, asked_at)
+            world.history.record_submission(job_id, asked_at)
         front = self._front(via)
         status, answer = await self._send(method, path, body, timeout, front)
         if status in REFUSED and self.may_be_removed:
@@ -72,7 +72,7 @@
         """Returns (status, body) of a controller's response; (0, None) if there is none."""
         if front is None:
             return 0, None
-        client = Client(self.world.user_loop, self.world.user_net, front, 0)
+        client = HttpClient(self.world.user_loop, self.world.user_net, front, 0)
         data = cbor2.dumps(body) if body is not None else b""
         try:
             status, data, _ = await client.request(method, path, data, timeout)
@@ -80,7 +80,7 @@
             return 0, None
         return status, (cbor2.loads(data) if data else None)
 
-    def _hear(self, reply):
+    def _handle_reply(self, reply):
         """Takes the job's state from a response of 200 or 201, and checks it against what really runs."""
         world = self.world
         status, answer, asked_at = reply
@@ -92,8 +92,8 @@
             return  # an older response to an overlapping request, or a violation reported by the history
         if (
             state == "cancelled"
-            and not self.asked_to_cancel
-            and not any(user.asked_to_cancel for user in world.upstream_users(self.id))
+            and not self.has_requested_cancel
+            and not any(user.has_requested_cancel for user in world.upstream_users(self.id))
         ):
             world.record_violation(
                 "went_back", f"{self.id} is reported as cancelled, but nobody cancelled it"
@@ -107,14 +107,14 @@
             world.cancelled_at[self.id] = self.sim.time
         if state in ("pending", "running") and any(
             asked_at > cancelled_at + world.settings["workers"]["cancel_s"]
-            for cancelled_at in world.cancelled_above(self.id)
+            for cancelled_at in world.upstream_cancelled_at(self.id)
         ):
             world.record_violation(
                 "orphaned", f"{self.id} is reported as {state}, long after an upstream job was cancelled"
             )
         is_new = state != self.last_state and (state in ("done", "cancelled") or self.last_state is None)
         if self.last_state != state:
-            self.told_at = self.sim.time
+            self.state_changed_at = self.sim.time
         self.last_state = state
         if is_new:
             world.injector.user_learned(self)
@@ -141,25 +141,25 @@
             await loop.sleep(0.05)
         started_at = self.sim.time
         while not self.accepted:
-            reply = await self._ask("POST", "/v1/jobs", submission, 5.0)
+            reply = await self._request("POST", "/v1/jobs", submission, 5.0)
             if reply.status in (200, 201):
                 self.accepted = True
-                self._hear(reply)
+                self._handle_reply(reply)
             elif reply.status in (400, 422):
                 self.world.refusals[self.id] = reply.status
                 return
-            elif self.gave_up or self.sim.time - started_at > 60:
-                self.gave_up = True
+            elif self.has_given_up or self.sim.time - started_at > 60:
+                self.has_given_up = True
                 return
             else:
                 await loop.sleep(1.0 + self.sim.random.random())
         while self.last_state not in ("done", "cancelled"):
             await loop.sleep(4.0 + 2 * self.sim.random.random())
-            self._hear(await self._ask("GET", f"/v1/jobs/{self.id}", None, 2.0))
+            self._handle_reply(await self._request("GET", f"/v1/jobs/{self.id}", None, 2.0))
         # Long after its end, every controller must still report the same state.
         for _ in range(4):
             await loop.sleep(7.0)
-            self._hear(await self._ask("GET", f"/v1/jobs/{self.id}", None, 2.0))
+            self._handle_reply(await self._request("GET", f"/v1/jobs/{self.id}", None, 2.0))
 
     async def submit_again(self):
         """Repeats the submission of an accepted job until it is answered."""
@@ -167,23 +167,23 @@
         while not self.accepted:
             await self.world.user_loop.sleep(1.0)
         for _ in range(60):
-            reply = await self._ask("POST", "/v1/jobs", submission, 5.0)
+            reply = await self._request("POST", "/v1/jobs", submission, 5.0)
             if reply.status in (200, 201):
-                self._hear(reply)
+                self._handle_reply(reply)
                 return
             await self.world.user_loop.sleep(1.0)
 
     async def poll(self, via=None):
         """Polls once more, at controller `via` if given."""
-        self._hear(await self._ask("GET", f"/v1/jobs/{self.id}", None, 2.0, via))
+        self._handle_reply(await self._request("GET", f"/v1/jobs/{self.id}", None, 2.0, via))
 
     async def cancel(self, via=None):
         """Cancels the job, retrying for up to a minute."""
-        self.asked_to_cancel = True
+        self.has_requested_cancel = True
         started_at = self.sim.time
         while self.sim.time - started_at < 60:
-            reply = await self._ask("POST", f"/v1/jobs/{self.id}/cancel", None, 5.0, via)
+            reply = await self._request("POST", f"/v1/jobs/{self.id}/cancel", None, 5.0, via)
             if reply.status == 200:
-                self._hear(reply)
+                self._handle_reply(reply)
                 return
             await self.world.user_loop.sleep(1.0)
--- a/roadhead/local/worker.py
+++ b/roadhead/local/worker.py
@@ -11,7 +11,7 @@
 from roadhead.local.gang import Gang
 from roadhead.local.server import EmulatedServer
 from roadhead.runtime.loop import Future
-from roadhead.wire.http import Client, NoResponseError
+from roadhead.wire.http import HttpClient, NoResponseError
 
 REPORT_TIMEOUT_S = 4.0  # a worker ignores a response that takes longer, as the protocol requires
 
@@ -36,7 +36,7 @@
         self.address = address or f"10.1.{number // 200}.{number % 200 + 1}:9000"
         super().__init__(world, self.address.rpartition(":")[0], self.address)
         self.name, self.kind, self.zone, self.spot = name, kind, zone, spot
-        self.born = self.sim.time
+        self.created_at = self.sim.time
         self.up = False
         self.dead = False
         self.sick = False  # every task fails
@@ -47,12 +47,12 @@
         self.sequence = 0
         self.token = 0  # the highest fencing token seen
         self.notice_at = None  # when the cloud reclaims the machine, once it has given notice
-        self.deaf_until = 0.0  # until then, responses and commands to it are lost
-        self.mute_until = 0.0  # until then, it opens no connection to a controller
+        self.incoming_lost_until = 0.0  # until then, responses and commands to it are lost
+        self.outgoing_blocked_until = 0.0  # until then, it opens no connection to a controller
         self.tasks = {}  # (task, attempt) -> TaskAttempt
         self.report_s = world.settings["workers"]["report_s"]
         self.lease_s = world.settings["workers"]["lease_s"]
-        self.loop.spawn(self._live(), name)
+        self.loop.spawn(self._run(), name)
 
     def listed(self):
         """Returns the machine's status in the cloud's list."""
@@ -69,7 +69,7 @@
         self.tasks.clear()
         self.world.network.kill(self.host)
 
-    async def _live(self):
+    async def _run(self):
         if self.world.fault_windows.quick_boots.strikes(self.sim):
             boot_s = self.sim.random.uniform(*QUICK_BOOT_S)
         else:
@@ -85,7 +85,7 @@
         self.wanted = None
         clients = {}
         while True:
-            if self.sim.time < self.mute_until:
+            if self.sim.time < self.outgoing_blocked_until:
                 for open_client in clients.values():
                     open_client.close()
                 clients.clear()
@@ -94,7 +94,7 @@
                 front_index += 1
                 continue
             front = fronts[front_index % len(fronts)]
-            client = clients.setdefault(front, Client(self.loop, self.net, front, 1))
+            client = clients.setdefault(front, HttpClient(self.loop, self.net, front, 1))
             sent_at, session = self.loop.now(), self.session
             body = cbor2.dumps(self.report())
             if self.world.fault_windows.late_reports.strikes(self.sim):
@@ -106,7 +106,7 @@
             try:
                 left_s = sent_at + REPORT_TIMEOUT_S - self.loop.now()
                 status, data, _ = await client.request("POST", "/v1/report", body, left_s)
-                if self.sim.time < self.deaf_until:
+                if self.sim.time < self.incoming_lost_until:
                     status, data = 0, b""
                     client.close()
                     await self.loop.sleep(max(0.0, sent_at + REPORT_TIMEOUT_S - self.loop.now()))
@@ -138,7 +138,7 @@
         """Delivers a second copy of a report late, whose response nobody reads."""
         await self.loop.sleep(self.sim.random.uniform(2.0, 3 * self.lease_s))
         try:
-            await Client(self.loop, self.net, front, 0).request("POST", "/v1/report", body, 4.0)
+            await HttpClient(self.loop, self.net, front, 0).request("POST", "/v1/report", body, 4.0)
         except NoResponseError:
             pass
 
@@ -175,7 +175,7 @@
         }
 
     async def handle(self, method, path, args, body, host):
-        if self.sim.time < self.deaf_until:
+        if self.sim.time < self.incoming_lost_until:
             await Future()
         if path == "/inspect":
             return 200, self.report()
@@ -227,7 +227,7 @@
             self.changed()
 
     def _start(self, task_attempt):
-        self.world.on_machine(task_attempt.task, self)
+        self.world.on_task_started(task_attempt.task, self)
         job = self.world.job_of(task_attempt.task)
         if job["shape"] == "group":
             task_attempt.status = "gathering"
@@ -292,7 +292,7 @@
         if task_attempt.timer is not None:
             task_attempt.timer.cancel()
         if task_attempt.status in ("running", "saving", "gathering"):
-            self.world.off_machine(task_attempt.task, self)
+            self.world.on_task_gone(task_attempt.task, self)
             gang = self.world.gangs.get((task_attempt.task.rpartition("/")[0], task_attempt.attempt))
             if gang is not None:
                 gang.leave(task_attempt)
--- a/roadhead/local/world.py
+++ b/roadhead/local/world.py
@@ -250,13 +250,13 @@
         """Records a violation of a rule."""
         self.rules.record_violation(rule, text)
 
-    def on_machine(self, task, worker):
+    def on_task_started(self, task, worker):
         """Records that a task starts on a worker."""
-        self.rules.on_machine(task, worker)
+        self.rules.on_task_started(task, worker)
 
-    def off_machine(self, task, worker):
+    def on_task_gone(self, task, worker):
         """Records that a task no longer runs on a worker."""
-        self.rules.off_machine(task, worker)
+        self.rules.on_task_gone(task, worker)
 
     def task_done(self, task):
         """Is called when a task has completed."""
@@ -268,9 +268,9 @@
         """Is called when the state service has executed a transaction."""
         self.injector.state_changed(writes)
 
-    def cancelled_above(self, job_id):
+    def upstream_cancelled_at(self, job_id):
         """Returns when users of upstream jobs first saw the cancellation that they had requested."""
-        return self.rules.cancelled_above(job_id)
+        return self.rules.upstream_cancelled_at(job_id)
 
     def upstream_users(self, job_id):
         """Returns the users of all jobs upstream of a job."""
--- a/roadhead/machines/capacity_grants.py
+++ b/roadhead/machines/capacity_grants.py
@@ -70,14 +70,14 @@
 class CapacityGranter:
     """Grants the free capacity of this leader's machines to controllers with waiting tasks.
 
-    `machines`: name -> Machine; `lapse_s`: how long a grant lasts unused; `random`: a random.Random.
+    `machines`: name -> Machine; `grant_lifetime_s`: how long a grant lasts unused; `random`: a random.Random.
     """
 
-    def __init__(self, loop, label, machines, lapse_s, random, send, counters):
+    def __init__(self, loop, label, machines, grant_lifetime_s, random, send, counters):
         self._loop = loop
         self.label = label
         self._machines = machines
-        self._lapse_s = lapse_s
+        self._grant_lifetime_s = grant_lifetime_s
         self._random = random
         self._send = send
         self._count = counters.add
@@ -134,7 +134,7 @@
         if state == machine.grant_sent:
             return
         machine.grant_sent = state
-        machine.grant_lapse_at = self._loop.now() + self._lapse_s
+        machine.grant_lapse_at = self._loop.now() + self._grant_lifetime_s
         self._send(
             machine.grant_holder,
             frames.Grant(
@@ -147,7 +147,7 @@
                 machine.spot,
                 *(max(0.0, part) for part in capacity),
                 list(machine.images),
-                self._lapse_s,
+                self._grant_lifetime_s,
             ),
         )
 
--- a/roadhead/machines/handover.py
+++ b/roadhead/machines/handover.py
@@ -12,7 +12,7 @@
         for task in machine.tasks.values():
             owner, requirements = (
                 registry.owners.get(task.job) or task.owner,
-                registry.specs.get(task.job) or task.requirements,
+                registry.job_requirements.get(task.job) or task.requirements,
             )
             if owner is not None and requirements is not None:
                 jobs[task.job] = (
--- a/roadhead/machines/machine.py
+++ b/roadhead/machines/machine.py
@@ -106,6 +106,7 @@
         "grant_sent",
         "grant_serial",
         "grant_taken",
+        "has_been_up",
         "heard_at",
         "id",
         "idle_since",
@@ -130,7 +131,6 @@
         "tasks_done",
         "token",
         "type",
-        "up",
         "zone",
     )
 
@@ -151,7 +151,7 @@
         self.heard_at = None
         self.lease = WorkerLease(now)
         self.listed_at = None
-        self.up = False  # seen running, by a list or a report, when nobody else can have led it
+        self.has_been_up = False  # seen running, by a list or a report, when nobody else can have led it
         self.born_at = 0.0  # it was rented, or came up, no earlier than this
         self.notice_at = None  # when the cloud ends it, by its notice
         self.tasks = {}
--- a/roadhead/machines/machine_registry.py
+++ b/roadhead/machines/machine_registry.py
@@ -24,7 +24,7 @@
         self.locations = {}  # job -> {Task: its machine}
         self.gone = {}  # name of a machine that certainly no longer runs -> since when
         self.owners = {}  # job -> (label, incarnation)
-        self.specs = {}  # job -> TaskRequirements
+        self.job_requirements = {}  # job -> TaskRequirements
         self.cancelled = {}  # job that is done or cancelled -> since when; none of its tasks may run
         self.proven = {}  # job of which a task succeeded here -> when
         self.faulty = {}  # job that fails wherever it runs, by its owner's word -> since when
@@ -75,7 +75,7 @@
         live_jobs = self.locations.keys() | awaited()
         oldest_kept = now - 4 * self._lease_s
         self.owners = {job: owner for job, owner in self.owners.items() if job in live_jobs}
-        self.specs = {job: spec for job, spec in self.specs.items() if job in live_jobs}
+        self.job_requirements = {job: spec for job, spec in self.job_requirements.items() if job in live_jobs}
         if len(self.cancelled) > MAX_CANCELLED:
             self.cancelled = {
                 job: at
--- a/roadhead/machines/report_processor.py
+++ b/roadhead/machines/report_processor.py
@@ -95,23 +95,23 @@
                 report.machine, report.address, report.type, report.zone, report.spot, now
             )
             self._reconciliation.mark_unheard(machine)
-        if report.token > machine.token or self._too_late(machine):
+        if report.token > machine.token or self._may_be_led_elsewhere(machine):
             return None
         self.observe(machine, report)
         return machine
 
-    def _too_late(self, machine):
+    def _may_be_led_elsewhere(self, machine):
         """Whether the machine may have started under another leader.
 
         That leader would not wait for it, and would not know of tasks started there by this one.
         """
-        return not machine.up and not self._member.may_take_on(machine.shard)
+        return not machine.has_been_up and not self._member.may_take_on(machine.shard)
 
     def observe(self, machine, report):
         """Takes in a report or the body of a direct answer; returns False if it is outdated."""
-        if report.token > machine.token or self._too_late(machine):
+        if report.token > machine.token or self._may_be_led_elsewhere(machine):
             return False
-        machine.up = True
+        machine.has_been_up = True
         message_number = (report.session, report.sequence)
         if message_number <= (machine.session, machine.sequence):
             return False
@@ -214,7 +214,7 @@
         task = machine.tasks.get((job, index, item.attempt))
         if task is None:
             task = Task(job, index, item.attempt, item.status, self._registry.owners.get(job))
-            task.requirements = self._registry.specs.get(job)
+            task.requirements = self._registry.job_requirements.get(job)
             machine.add_task(task)
             if task.requirements is None:
                 self._need_spec(job)
--- a/roadhead/machines/shard_leader.py
+++ b/roadhead/machines/shard_leader.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger("roadhead.home")
 
-SILENT_REPORTS = 2.25  # report intervals without a report; a healthy worker's are at most 1.25 apart
+SILENT_REPORT_INTERVALS = 2.25  # report intervals without a report; a healthy worker's are at most 1.25 apart
 MIN_MACHINES_HEARD = 3  # with fewer machines heard, their silence says nothing about the network
 SPARE_RATIO = 0.25  # free CPUs beside those in use above which idle machines are released sooner
 
@@ -30,12 +30,24 @@
     """Leads the machines of this controller's shards during one incarnation.
 
     `capacity_granter` grants free capacity, `report_processor` takes in reports, `task_commands` handles
-    owners' frames, `reconciliation` tracks what is not known yet after a shard came here. `lapse_s` is how
-    long a grant lasts unused; `need_spec(job)` is called for a job found on a machine but not known here.
+    owners' frames, `reconciliation` tracks what is not known yet after a shard came here. `grant_lifetime_s`
+    is how long a grant lasts unused; `need_spec(job)` is called for a job found on a machine but not known
+    here.
     """
 
     def __init__(
-        self, loop, label, member, deployment, lapse_s, random, send, ask, need_spec, counters, decisions
+        self,
+        loop,
+        label,
+        member,
+        deployment,
+        grant_lifetime_s,
+        random,
+        send,
+        ask,
+        need_spec,
+        counters,
+        decisions,
     ):
         self._loop = loop
         self.label = label
@@ -53,7 +65,9 @@
         self.reconciliation = ShardReconciliation(
             loop, member, registry, self._notifier, workers.lease_s, workers.cancel_s, lag_s, decisions
         )
-        self.capacity_granter = CapacityGranter(loop, label, self.machines, lapse_s, random, send, counters)
+        self.capacity_granter = CapacityGranter(
+            loop, label, self.machines, grant_lifetime_s, random, send, counters
+        )
         self.failure_history = FailureHistory(
             loop, registry, self.capacity_granter, workers.report_s, self._drain, counters
         )
@@ -75,7 +89,7 @@
             self._notifier,
             self.reconciliation,
             self.capacity_granter,
-            lapse_s,
+            grant_lifetime_s,
             send,
             ask,
             counters,
@@ -130,7 +144,7 @@
 
     def most_workers_silent(self):
         """Whether most machines heard here are silent: all died at once, or this controller is cut off."""
-        limit = self._loop.now() - SILENT_REPORTS * self._workers.report_s
+        limit = self._loop.now() - SILENT_REPORT_INTERVALS * self._workers.report_s
         if self.running_since > limit:
             return False
         heard = silent = 0
@@ -158,7 +172,7 @@
                 continue
             machine = registry.register(name, address, kind_name, zone, spot, self._loop.now())
             machine.draining = draining
-            machine.up = True
+            machine.has_been_up = True
             machine.images = dict.fromkeys(images, 0.0)
             self.reconciliation.mark_unheard(machine)
             self._ask(machine)
@@ -169,7 +183,7 @@
         for job, label, incarnation, cpus, gpus, memory, image, image_gb, save_s, saves in frame.rows:
             if self._member.term.serves(label, incarnation):
                 registry.owners.setdefault(job, (label, incarnation))
-            registry.specs.setdefault(
+            registry.job_requirements.setdefault(
                 job, TaskRequirements((cpus, gpus, memory), image, image_gb, save_s, saves)
             )
 
@@ -208,7 +222,7 @@
                 machine.born_at = shown_at - item.age_s * (1 + CLOCK_DRIFT)
             machine.listed_at = asked_at
             if item.status == "running" and taken_on:
-                machine.up = True
+                machine.has_been_up = True
             if item.status == "starting":
                 # The list shows it not up at that moment, so nobody can have commanded it before.
                 machine.born_at = max(machine.born_at, shown_at)
--- a/roadhead/machines/shard_reconciliation.py
+++ b/roadhead/machines/shard_reconciliation.py
@@ -31,24 +31,24 @@
 class ShardFence:
     """What limits the knowledge of one shard since this controller leads it under its token.
 
-    Times are in seconds of the loop. `since`: machines of the shard that came up later were heard by no other
-    leader; infinite while a relieved controller may still hear some. `at`: by then every lease that another
-    leader renewed has ended. `short`: whether `at` assumes that no other leader came between. `cover_from`:
-    only a machine list requested after this counts as complete, and `covered` is whether one was taken in.
-    `unheard`: machines not heard under the token. `awaited`: those of them that syncs wait for until `at`.
-    Both are ordered sets.
+    Times are in seconds of the loop. `led_since`: machines of the shard that came up later were heard by no
+    other leader; infinite while a relieved controller may still hear some. `ends_at`: by then every lease
+    that another leader renewed has ended. `short`: whether `ends_at` assumes that no other leader came
+    between. `cover_from`: only a machine list requested after this counts as complete, and `covered` is
+    whether one was taken in. `unheard`: machines not heard under the token. `awaited_machines`: those of them
+    that syncs wait for until `ends_at`. Both are ordered sets.
     """
 
-    __slots__ = ("at", "awaited", "cover_from", "covered", "short", "since", "unheard")
+    __slots__ = ("awaited_machines", "cover_from", "covered", "ends_at", "led_since", "short", "unheard")
 
-    def __init__(self, since, at, short, cover_from, machines):
-        self.since = since
-        self.at = at
+    def __init__(self, led_since, ends_at, short, cover_from, machines):
+        self.led_since = led_since
+        self.ends_at = ends_at
         self.short = short
         self.cover_from = cover_from
         self.covered = False
         self.unheard = dict.fromkeys(machines, True)
-        self.awaited = dict(self.unheard)
+        self.awaited_machines = dict(self.unheard)
 
 
 class ShardReconciliation:
@@ -99,8 +99,8 @@
             return
         now = self._loop.now()
         for shard, fence in self._fences.items():
-            if fence.since == math.inf and now < fence.at:
-                fence.since, fence.covered = now, False
+            if fence.led_since == math.inf and now < fence.ends_at:
+                fence.led_since, fence.covered = now, False
                 fence.cover_from = now + 2 * self._lag_s * (1 + CLOCK_DRIFT)
                 self._unverified[shard] = True
 
@@ -114,17 +114,17 @@
         now = self._loop.now()
         # A process that has ended renews no leases. A member that was dropped but lives on stops renewing
         # before cancel_s - lease_s is up (guide, safety 4). Then its last leases have to run out.
-        at = now + self._fence_length_s(short)
+        ends_at = now + self._fence_length_s(short)
         cover_from = now + 2 * self._lag_s * (1 + CLOCK_DRIFT)
         machines = {shard: [] for shard in shards}
         for machine in self._registry.machines.values():
             if machine.shard in machines:
                 machines[machine.shard].append(machine.id)
         for shard, names in machines.items():
-            since = math.inf if self._relieved_controllers else now
-            self._fences[shard] = ShardFence(since, at, short, cover_from, names)
+            led_since = math.inf if self._relieved_controllers else now
+            self._fences[shard] = ShardFence(led_since, ends_at, short, cover_from, names)
             self._unverified[shard] = True
-            self._note_shard_held(shard, names, short, at - now)
+            self._note_shard_held(shard, names, short, ends_at - now)
 
     def _note_shard_held(self, shard, names, short, fence_s):
         """Records the evidence for the new leadership of a shard."""
@@ -154,9 +154,9 @@
         """
         now = self._loop.now()
         for shard, fence in self._fences.items():
-            if fence.short and now < fence.at:
-                fence.at, fence.short = now + self._fence_length_s(False), False
-                self._decisions.note(Decision.FENCE_LENGTHENED, {"shard": shard}, fence_s=fence.at - now)
+            if fence.short and now < fence.ends_at:
+                fence.ends_at, fence.short = now + self._fence_length_s(False), False
+                self._decisions.note(Decision.FENCE_LENGTHENED, {"shard": shard}, fence_s=fence.ends_at - now)
 
     def drop_shards(self, shards):
         """Forgets shards that have another leader."""
@@ -167,19 +167,19 @@
 
     def fence_ends_at(self, shard):
         """When every lease that another leader renewed in the shard has ended."""
-        return self._fences[shard].at
+        return self._fences[shard].ends_at
 
     def mark_unheard(self, machine):
         """Waits for a machine that is new here, or whose lease has ended."""
         fence = self._fences[machine.shard]
-        fence.unheard[machine.id] = fence.awaited[machine.id] = True
+        fence.unheard[machine.id] = fence.awaited_machines[machine.id] = True
         self._unverified[machine.shard] = True
 
     def mark_heard(self, machine):
         """Stops waiting for a machine that was heard under its token."""
         fence = self._fences[machine.shard]
         fence.unheard.pop(machine.id, None)
-        fence.awaited.pop(machine.id, None)
+        fence.awaited_machines.pop(machine.id, None)
 
     def next_list_at(self):
         """The next time from which a machine list would cover a shard not covered yet; None if not ahead."""
@@ -231,18 +231,18 @@
         if not fence.covered:
             return False
         machines = self._registry.machines
-        if self._loop.now() >= fence.at:
+        if self._loop.now() >= fence.ends_at:
             return not any(name in machines and machines[name].tasks for name in fence.unheard)
-        if fence.since == math.inf:
+        if fence.led_since == math.inf:
             return False  # a relieved controller may hear a newly rented machine first
         # A machine that was rented, or still booting, after the previous leader ended or its lease ran out
         # can't have been heard by that leader.
-        while fence.awaited:
-            name = next(iter(fence.awaited))
+        while fence.awaited_machines:
+            name = next(iter(fence.awaited_machines))
             machine = machines.get(name)
-            if machine is not None and machine.born_at <= fence.since:
+            if machine is not None and machine.born_at <= fence.led_since:
                 return False
-            del fence.awaited[name]
+            del fence.awaited_machines[name]
         return True
 
     # Owners' claims on attempts on machines that were not heard yet
@@ -303,9 +303,9 @@
         now = self._loop.now()
         undecided = False
         for name, fence in self._unknown_claimed_machines():
-            if term_confirmed_at > fence.at:
+            if term_confirmed_at > fence.ends_at:
                 self.free_claims(name, "lease ended")
-            undecided = undecided or now > fence.at >= term_confirmed_at
+            undecided = undecided or now > fence.ends_at >= term_confirmed_at
         return undecided
 
     # Syncs
--- a/roadhead/machines/task_commands.py
+++ b/roadhead/machines/task_commands.py
@@ -8,8 +8,8 @@
 class TaskCommands:
     """Carries out the owners' frames: starts, stops, forgotten attempts, syncs and cancellations.
 
-    `ask(machine)` requests a direct command request to a machine's worker; `lapse_s` is the time after which
-    an unused grant expires.
+    `ask(machine)` requests a direct command request to a machine's worker; `grant_lifetime_s` is the time
+    after which an unused grant expires.
     """
 
     def __init__(
@@ -19,7 +19,7 @@
         notifier,
         reconciliation,
         capacity_granter,
-        lapse_s,
+        grant_lifetime_s,
         send,
         ask,
         counters,
@@ -30,7 +30,7 @@
         self._notifier = notifier
         self._reconciliation = reconciliation
         self._capacity_granter = capacity_granter
-        self._lapse_s = lapse_s
+        self._grant_lifetime_s = grant_lifetime_s
         self._send = send
         self._ask = ask
         self._count = counters.add
@@ -41,9 +41,9 @@
         registry = self._registry
         machine = registry.machines.get(frame.machine)
         self._capacity_granter.set_idle_length(label, frame.length)
-        requirements = registry.specs.get(frame.job)
+        requirements = registry.job_requirements.get(frame.job)
         if requirements is None:
-            requirements = registry.specs[frame.job] = TaskRequirements(
+            requirements = registry.job_requirements[frame.job] = TaskRequirements(
                 (frame.cpus, frame.gpus, frame.memory),
                 frame.image,
                 frame.image_gb,
@@ -57,7 +57,7 @@
                 self._start(label, incarnation, frame, machine, requirements, index, attempt) or launched
             )
         if launched:
-            machine.grant_lapse_at = self._loop.now() + self._lapse_s
+            machine.grant_lapse_at = self._loop.now() + self._grant_lifetime_s
             self._ask(machine)
         if frame.last:
             self._capacity_granter.release_grant(label, machine, frame.serial)
@@ -152,7 +152,7 @@
     def set_job_requirements(self, job, spec, *, over):
         """Records the requirements of a job read from its record; `over`: the job is done or cancelled."""
         if spec is not None:
-            self._registry.specs[job] = spec
+            self._registry.job_requirements[job] = spec
         if over:
             self.cancel([job])
         if spec is None:
--- a/roadhead/machines/worker_client.py
+++ b/roadhead/machines/worker_client.py
@@ -5,7 +5,7 @@
 from roadhead.decision_log import Decision
 from roadhead.machines.machine import decision_subject
 from roadhead.wire import messages
-from roadhead.wire.http import Client, NoResponseError
+from roadhead.wire.http import HttpClient, NoResponseError
 
 log = logging.getLogger("roadhead.workers")
 
@@ -30,9 +30,9 @@
         self._decisions = decisions
         self._clients = {}  # machine -> Client, least recently used first
         self._queues = {}, {}  # machines to be asked -> True, ordered sets: heard lately, silent
-        self._asking = [0, 0]  # requests under way for each of the two queues
+        self._in_flight = [0, 0]  # requests under way for each of the two queues
 
-    def ask(self, machine):
+    def queue_request(self, machine):
         """Sends the machine its pending commands, or only shows it the token of its new leader."""
         if machine.request_in_flight:
             machine.request_again = True
@@ -46,13 +46,13 @@
     def _next(self):
         limit = self._sockets.max_command_requests
         for silent, queue in enumerate(self._queues):
-            while queue and sum(self._asking) < limit and (not silent or 2 * self._asking[1] < limit):
+            while queue and sum(self._in_flight) < limit and (not silent or 2 * self._in_flight[1] < limit):
                 machine = next(iter(queue))
                 del queue[machine]
-                self._asking[silent] += 1
-                self._loop.spawn(self._ask(machine, silent), f"ask {machine.id}")
+                self._in_flight[silent] += 1
+                self._loop.spawn(self._run_requests(machine, silent), f"ask {machine.id}")
 
-    async def _ask(self, machine, silent):
+    async def _run_requests(self, machine, silent):
         leader = self.shard_leader
         try:
             while True:
@@ -72,16 +72,16 @@
                     return
         finally:
             machine.request_in_flight = False
-            self._asking[silent] -= 1
+            self._in_flight[silent] -= 1
             self._next()
 
     def _client(self, machine):
         """The machine's connection; a new one may replace the connection unused for longest."""
         client = self._clients.pop(machine.id, None)
         if client is None or client.address != machine.address:
-            client = Client(self._loop, self._net, machine.address, max_idle=1, max_body=1 << 20)
+            client = HttpClient(self._loop, self._net, machine.address, max_idle=1, max_body=1 << 20)
         self._clients[machine.id] = client
-        if len(self._clients) > max(self._sockets.max_idle_command_connections, sum(self._asking)):
+        if len(self._clients) > max(self._sockets.max_idle_command_connections, sum(self._in_flight)):
             self.forget([next(iter(self._clients))])
         return client
 
@@ -128,11 +128,11 @@
             self.shard_leader.report_processor.observe(machine, report)
         return None
 
-    async def reached(self, addresses):
+    async def count_reachable(self, addresses):
         """How many of the workers at `addresses` answer."""
         count = 0
         for address in addresses:
-            client = Client(self._loop, self._net, address, max_idle=0)
+            client = HttpClient(self._loop, self._net, address, max_idle=0)
             try:
                 await client.request("GET", "/inspect", b"", self._timeout_s)
                 count += 1
--- a/roadhead/membership/authority.py
+++ b/roadhead/membership/authority.py
@@ -60,7 +60,7 @@
         for label in self._others:
             link = self._peers.links.get(label)
             if link is None or link.incarnation != self._member.term.incarnation(label):
-                link = self._peers.outside.get(label)
+                link = self._peers.non_member_links.get(label)
             if link is None:
                 return None
             heard_at = min(heard_at, link.last_heartbeat_at)
--- a/roadhead/membership/cancellation_freshness.py
+++ b/roadhead/membership/cancellation_freshness.py
@@ -50,12 +50,12 @@
 class CancellationFreshness:
     """Until when all cancellations that users were told of are known here.
 
-    `blind_s`: how old that knowledge may be before workers must be released; `keep_s`: for how long the other
-    controllers keep their KnownCancellations.
+    `max_staleness_s`: how old that knowledge may be before workers must be released; `keep_s`: for how long
+    the other controllers keep their KnownCancellations.
     """
 
-    def __init__(self, blind_s, keep_s):
-        self._max_staleness_s = blind_s
+    def __init__(self, max_staleness_s, keep_s):
+        self._max_staleness_s = max_staleness_s
         # Half of it, as the others count it by their own clocks and from earlier moments.
         self._max_gap_s = keep_s / 2
         self.known_at = -1e9
--- a/roadhead/membership/member.py
+++ b/roadhead/membership/member.py
@@ -106,7 +106,7 @@
             return
         if not self.term.serves(self.label, self.incarnation):
             log.info("this incarnation was dropped by term %d", self.term.number)
-            self._lose()
+            self._end_incarnation()
             return
         log.info("term %d: members %s", self.term.number, sorted(self.term.members))
         self._on_term(old, self.term)
@@ -162,7 +162,7 @@
                         {"put": TERM, "data": new.to_record()},
                         {
                             "put": MEMBER + self.label,
-                            "data": self._member_record(term.next),
+                            "data": self._member_record(term.next_token),
                             "permit": self._lease_id,
                         },
                     ],
@@ -189,9 +189,9 @@
         if self.format_gate.in_force != old_format:
             log.info("format %d of records is in force", self.format_gate.in_force)
         if self.format_gate.is_outdated and self.joined:
-            self._lose()
+            self._end_incarnation()
 
-    def _lose(self):
+    def _end_incarnation(self):
         """Ends this incarnation's service."""
         self.incarnation = 0
         self._lost.set()
--- a/roadhead/membership/peers.py
+++ b/roadhead/membership/peers.py
@@ -46,26 +46,30 @@
 class Peers:
     """The links to all other configured controllers.
 
-    `links` has those of members by label, `outside` those of controllers that are no members. `speaks()`
-    tells whether this controller may have links now. Callbacks: `on_frame(label, incarnation, frame)`;
-    `on_up(label)` for each new link, before its first heartbeat; `on_down(label)` when a member's link ends.
+    `links` has those of members by label, `non_member_links` those of controllers that are no members.
+    `may_link()` tells whether this controller may have links now. Callbacks: `on_frame(label, incarnation,
+    frame)`; `on_up(label)` for each new link, before its first heartbeat; `on_down(label)` when a member's
+    link ends.
     """
 
-    def __init__(self, loop, net, settings, heartbeat_s, me, speaks, heartbeat, on_frame, on_up, on_down):
+    def __init__(
+        self, loop, net, settings, heartbeat_s, own_incarnation, may_link, heartbeat, on_frame, on_up, on_down
+    ):
         self._loop = loop
         self._net = net
         self.label = settings.label
         self._addresses = {member.label: member.endpoint for member in settings.members}
         self._listen_on = settings.internal_addr
         self._heartbeat_s = heartbeat_s
-        self._own_incarnation = me  # () -> this controller's incarnation, 0 while it is no member
-        self._speaks = speaks
+        # () -> this controller's incarnation, 0 while it is no member
+        self._own_incarnation = own_incarnation
+        self._may_link = may_link
         self._heartbeat = heartbeat  # () -> Heartbeat
         self._on_frame = on_frame
         self._on_up = on_up
         self._on_down = on_down
         self.links = {}
-        self.outside = {}
+        self.non_member_links = {}
         self._accepted = 0
 
     def start(self):
@@ -92,7 +96,7 @@
 
     async def _dial(self, label):
         while True:
-            if self._speaks():
+            if self._may_link():
                 try:
                     stream = await self._net.connect(self._addresses[label], 2 * self._heartbeat_s)
                     await self._serve_link(stream, label)
@@ -106,7 +110,7 @@
         link = label = None
         timer = self._loop.call_later(4 * self._heartbeat_s, stream.close)
         try:
-            if not self._speaks():
+            if not self._may_link():
                 return
             mine = self._own_incarnation()
             stream.write(Hello(self.label, mine).encode())
@@ -123,9 +127,9 @@
                         if (expected or label) != label or mine != self._own_incarnation():
                             return
                         timer.cancel()
-                        self._drop(label, self.links.get(label) or self.outside.get(label))
+                        self._drop(label, self.links.get(label) or self.non_member_links.get(label))
                         link = Link(stream, frame.incarnation, self._loop.now())
-                        (self.links if link.incarnation else self.outside)[label] = link
+                        (self.links if link.incarnation else self.non_member_links)[label] = link
                         # Before the first heartbeat, whose receiver relies on having been told all before it.
                         self._on_up(label)
                         stream.write(self._heartbeat().encode())
@@ -151,14 +155,14 @@
             self._drop(label, link)
 
     def _is_current(self, label, link):
-        return link is not None and link in (self.links.get(label), self.outside.get(label))
+        return link is not None and link in (self.links.get(label), self.non_member_links.get(label))
 
     def _drop(self, label, link):
         if not self._is_current(label, link):
             return
         link.stream.close()
-        if self.outside.get(label) is link:
-            del self.outside[label]
+        if self.non_member_links.get(label) is link:
+            del self.non_member_links[label]
         else:
             del self.links[label]
             self._on_down(label)
@@ -167,7 +171,7 @@
         while True:
             await self._loop.sleep(self._heartbeat_s)
             limit = self._loop.now() - SILENT_HEARTBEATS * self._heartbeat_s
-            for label, link in [*self.links.items(), *self.outside.items()]:
+            for label, link in [*self.links.items(), *self.non_member_links.items()]:
                 if link.heard_at < limit:
                     log.info("peer %s closed: it was silent for too long", label)
                     self._drop(label, link)
@@ -189,10 +193,10 @@
 
     def reset_silence(self):
         """Restarts the silence of all links after a stall, in which this process could hear nobody."""
-        for link in (*self.links.values(), *self.outside.values()):
+        for link in (*self.links.values(), *self.non_member_links.values()):
             link.heard_at = self._loop.now()
 
     def reset(self):
         """Closes all links, as this process's incarnation has changed."""
-        for label, link in [*self.links.items(), *self.outside.items()]:
+        for label, link in [*self.links.items(), *self.non_member_links.items()]:
             self._drop(label, link)
--- a/roadhead/membership/term.py
+++ b/roadhead/membership/term.py
@@ -25,13 +25,13 @@
     `leaders` are the labels of all others; at least one member is a leader.
     """
 
-    __slots__ = ("leaders", "members", "next", "number", "quota_leaders", "relieved", "shard_map")
+    __slots__ = ("leaders", "members", "next_token", "number", "quota_leaders", "relieved", "shard_map")
 
     def __init__(
         self, number=0, next_token=1, members=None, quota_leaders=(None,), relieved=(), shard_map=None
     ):
         self.number = number
-        self.next = next_token
+        self.next_token = next_token
         self.members = members or {}
         self.quota_leaders = tuple(quota_leaders)
         leaders = [label for label in self.members if label not in relieved]
@@ -58,7 +58,7 @@
         """The record to be stored for this term."""
         return {
             "number": self.number,
-            "next": self.next,
+            "next": self.next_token,
             "warden": self.quota_leaders[0],
             **({"wardens": list(self.quota_leaders)} if len(self.quota_leaders) > 1 else {}),
             "relieved": sorted(self.relieved),
@@ -71,7 +71,7 @@
 
         Shards of labels that lead none any more are redistributed.
         """
-        token = self.next
+        token = self.next_token
         entries = dict(members)
         new = Term(self.number + 1, token + 1, entries, self._assign_quota_leaders(entries), relieved)
         if new.leaders:
@@ -110,14 +110,16 @@
         if len(self.quota_leaders) >= partitions:
             return self
         quota_leaders = [*self.quota_leaders, *[None] * (partitions - len(self.quota_leaders))]
-        return Term(self.number, self.next, self.members, quota_leaders, self.relieved, self.shard_map)
+        return Term(self.number, self.next_token, self.members, quota_leaders, self.relieved, self.shard_map)
 
     def assign_partitions(self, partitions):
         """The next term, in which each quota partition in `partitions` has the leader named there."""
         quota_leaders = [
             partitions.get(partition, label) for partition, label in enumerate(self.quota_leaders)
         ]
-        return Term(self.number + 1, self.next, self.members, quota_leaders, self.relieved, self.shard_map)
+        return Term(
+            self.number + 1, self.next_token, self.members, quota_leaders, self.relieved, self.shard_map
+        )
 
     def quota_leader(self, group):
         """The label of the quota leader of a group of teams with a limit."""
@@ -137,15 +139,15 @@
         step (shards/balance.py).
         """
         members = dict(self.members)
-        members[label] = (self.next, self.next, nonce)
+        members[label] = (self.next_token, self.next_token, nonce)
         if not self.members:
             return Term(
                 self.number + 1,
-                self.next + 1,
+                self.next_token + 1,
                 members,
                 self._assign_quota_leaders(members),
                 (),
-                ShardMap.even([label], self.next),
+                ShardMap.even([label], self.next_token),
             )
         return self._with_new_tokens(members, {label})
 
--- a/roadhead/node.py
+++ b/roadhead/node.py
@@ -17,13 +17,20 @@
 from roadhead.frame_router import FrameRouter
 from roadhead.jobs.creation_guards import NO_GUARDS
 from roadhead.jobs.deadline_risk import DeadlineTracker
-from roadhead.jobs.job import ARCHIVE, FORMAT, KEY, awaited_ids, cancelled_with_ancestor_record, for_polls
+from roadhead.jobs.job import (
+    ARCHIVE,
+    RECORD_FORMAT,
+    RECORD_PREFIX,
+    awaited_ids,
+    cancelled_with_ancestor_record,
+    for_polls,
+)
 from roadhead.jobs.job_store import JobStore
 from roadhead.jobs.quota_balancer import QuotaBalancer
 from roadhead.jobs.recorder import Recorder
 from roadhead.jobs.records import RecordArchiver, complete, find
 from roadhead.jobs.teams import FixedTeams
-from roadhead.machines.shard_leader import SILENT_REPORTS, ShardLeader
+from roadhead.machines.shard_leader import SILENT_REPORT_INTERVALS, ShardLeader
 from roadhead.machines.spec_lookup import SpecLookup
 from roadhead.machines.worker_client import WorkerClient
 from roadhead.membership.authority import Authority, max_staleness_s
@@ -52,7 +59,7 @@
 POLL_ANSWER_PART = 0.85  # of the poll's timeout, after which the answer is that the state is unknown
 SUBMIT_ANSWER_PART = 0.9  # of the submission's timeout, after which the answer is that the outcome is unknown
 JOBS_PER_FRAME = 500  # ids in one JobsCancelled frame
-CANCELLED_MOST = 20_000  # cancellations passed on; with more, users can't cancel or confirm older ones
+MAX_CANCELLATIONS = 20_000  # cancellations passed on; with more, users can't cancel or confirm older ones
 
 
 class Node:
@@ -91,13 +98,13 @@
             partial(complete, self.state),
             awaited_ids,
             cancelled_with_ancestor_record,
-            (KEY, ARCHIVE),
+            (RECORD_PREFIX, ARCHIVE),
         )
         self.record_reader = RecordReader(
             loop,
             self.state,
             POLL_ANSWER_PART * POLL_TIMEOUT_S,
-            (KEY, ARCHIVE),
+            (RECORD_PREFIX, ARCHIVE),
             partial(complete, self.state),
             for_polls,
             self.ancestry.derive,
@@ -115,7 +122,9 @@
             on_term=self._on_term,
             on_lost=self._on_lost,
             on_cancel=self.on_cancelled,
-            format_gate=FormatGate(FORMAT, [self.label, *(member.label for member in settings.members)]),
+            format_gate=FormatGate(
+                RECORD_FORMAT, [self.label, *(member.label for member in settings.members)]
+            ),
             partitions=self._partition_count,
             on_tenant=None if hosted is None else hosted.table.take,
             time_of_day=time_of_day,
@@ -128,8 +137,8 @@
             net,
             settings,
             self._heartbeat_s,
-            me=lambda: self.member.incarnation,
-            speaks=self._speaks,
+            own_incarnation=lambda: self.member.incarnation,
+            may_link=self._may_send_heartbeats,
             heartbeat=self._heartbeat,
             on_frame=self._frame_router.on_frame,
             on_up=self._on_up,
@@ -143,7 +152,7 @@
             workers,
             self._heartbeat_s,
         )
-        self._default_aim_s = 15 * workers.lease_s
+        self._default_target_s = 15 * workers.lease_s
         self.shortest_targets = shortest_targets(deployment.objectives)
         self._class_targets = class_targets(deployment.objectives)
         self._sockets = SocketBudget(deployment.quota.fd_limit, self.counters.add)
@@ -216,7 +225,7 @@
             self.member,
             timeout_s=workers.lease_s / 4,
             may_command=self.authority.can_renew_leases,
-            silent_s=SILENT_REPORTS * workers.report_s,
+            silent_s=SILENT_REPORT_INTERVALS * workers.report_s,
             sockets=self._sockets,
             decisions=self.decisions,
         )
@@ -226,10 +235,10 @@
             self.label,
             self.member,
             deployment,
-            lapse_s=self._tuning.grants.lapse_ratio * workers.lease_s,
+            grant_lifetime_s=self._tuning.grants.lapse_ratio * workers.lease_s,
             random=self._random,
             send=self.send,
-            ask=self.workers.ask,
+            ask=self.workers.queue_request,
             need_spec=self._spec_lookup.need,
             counters=self.counters,
             decisions=self.decisions,
@@ -253,7 +262,7 @@
         parts = UpstreamParts(loop, self.state, self.member, self._time_of_day, workers.lease_s)
 
         def make_dependency_queue(job_store):
-            times = {name: targets.times for name, targets in self._class_targets.items()}
+            times = {name: targets.deadline_factors for name, targets in self._class_targets.items()}
             return DependencyQueue(
                 loop,
                 self.member,
@@ -295,7 +304,7 @@
             self.counters,
             gap_s=workers.report_s / 8,
             window_s=workers.lease_s,
-            default_aim_s=self._default_aim_s,
+            default_target_s=self._default_target_s,
         )
         self.shard_leader.capacity_granter.window_s = workers.lease_s
         self.dispatcher.queue.time_of_day = self._time_of_day
@@ -307,15 +316,15 @@
             deployment,
             self._tuning.fleet,
             self.shortest_targets,
-            self._default_aim_s,
+            self._default_target_s,
             self._random,
             self.counters,
         )
         self.fleet.types = types
-        self.fleet.on_types = self.api.readiness.changed
+        self.fleet.on_types = self.api.readiness.wake_waiting
         self.dispatcher.queue.capacity = self.fleet.capacity
         if self.tenant_admission is not None:
-            self.tenant_admission.share(self)
+            self.tenant_admission.begin_fair_sharing(self)
         self._spec_lookup.begin(self.shard_leader)
         self.failover.begin(self.job_store, self.archiver)
         self._summary.begin(self.job_store, self.shard_leader, self.dispatcher, self.fleet)
@@ -453,7 +462,7 @@
     def _is_state_ok(self):
         return self._loop.now() - self.state.ok_at < self.member._lease_s / 2
 
-    def _speaks(self):
+    def _may_send_heartbeats(self):
         """Whether this controller may send heartbeats.
 
         That holds for a member, and for a non-member that stays one for a while yet and that has read what
@@ -489,7 +498,7 @@
         it since they started. A controller that has reached it and now hears nobody, member or not, is cut
         off itself. If it stayed ready, a load balancer would favour it, since it refuses users at once.
         """
-        if self.peers.links or self.peers.outside or not self.settings.members:
+        if self.peers.links or self.peers.non_member_links or not self.settings.members:
             return any(link.state_ok for link in self.peers.links.values())
         return self.state.ok_at >= self._started_at
 
@@ -507,7 +516,7 @@
         return (
             (lambda _job: True)
             if self.tenant_admission is None
-            else self.tenant_admission.neighbours(spec.id)
+            else self.tenant_admission.same_tenant_check(spec.id)
         )
 
     @property
@@ -541,8 +550,8 @@
         if not self.member.joined:
             # The others don't wait for heartbeats of a non-member, so tasks could run on without a warning.
             raise UnavailableError("not a member: the other controllers would not learn of the cancellation")
-        if len(self.cancellations) >= CANCELLED_MOST and not all(map(self.cancellations.contains, jobs)):
-            raise UnavailableError(f"more than {CANCELLED_MOST} recent cancellations to pass on")
+        if len(self.cancellations) >= MAX_CANCELLATIONS and not all(map(self.cancellations.contains, jobs)):
+            raise UnavailableError(f"more than {MAX_CANCELLATIONS} recent cancellations to pass on")
         self._record_cancelled(jobs)
         self.shard_leader.task_commands.cancel(jobs)
 
@@ -558,9 +567,9 @@
     def _record_cancelled(self, jobs):
         new_jobs = self.cancellations.add_new(jobs, self._loop.now())
         for label in list(self.peers.links) if new_jobs else ():
-            self._tell_cancelled(label, new_jobs)
+            self._send_cancellations(label, new_jobs)
 
-    def _tell_cancelled(self, label, jobs):
+    def _send_cancellations(self, label, jobs):
         for at in range(0, len(jobs), JOBS_PER_FRAME):
             self.send(label, frames.JobsCancelled(jobs[at : at + JOBS_PER_FRAME]))
 
@@ -593,7 +602,7 @@
         for label in list(self.peers.links):
             self._frame_router.send_term(label)
         if old is None:
-            self.api.readiness.changed()
+            self.api.readiness.wake_waiting()
             # A controller that is not in the term may still run, and may have led shards held here now
             # until shortly before this one last ended. The same holds for a relieved one.
             all_members_joined = all(other.label in new.members for other in self.settings.members)
@@ -618,7 +627,7 @@
     # Links and frames
 
     def _on_up(self, label):
-        self._tell_cancelled(label, self.cancellations.all())
+        self._send_cancellations(label, self.cancellations.all())
         if not self.member.joined or label not in self.peers.links:
             return
         self._frame_router.send_term(label)
--- a/roadhead/periodic_duties.py
+++ b/roadhead/periodic_duties.py
@@ -60,7 +60,7 @@
             node.member.advance_format_gate()
             heartbeats += 1
             if node.tenant_admission is not None:
-                node.tenant_admission.tick(heartbeats)
+                node.tenant_admission.on_heartbeat(heartbeats)
             for interval_heartbeats, duty in self._schedule:
                 if heartbeats % interval_heartbeats == 0:
                     duty()
@@ -116,7 +116,7 @@
         node = self._node
         running = node.fleet.running
         probed = self._random.sample(running, min(MAX_SAMPLE, len(running)))
-        if probed and 2 * await node.workers.reached(probed) > len(probed):
+        if probed and 2 * await node.workers.count_reachable(probed) > len(probed):
             node.member.restore()
 
     # The state service
--- a/roadhead/pipelines/ancestry.py
+++ b/roadhead/pipelines/ancestry.py
@@ -10,7 +10,7 @@
 
 from roadhead.state.client import UnavailableError, UnknownOutcomeError
 
-CANCELS = "c/n"
+CANCELLATION_COUNTER = "c/n"
 MAX_WAITS_SHOWN = 20
 # Records that are read one by one at the same time; more than twice as many are read by pages.
 MAX_CONCURRENT_READS = 6
@@ -54,7 +54,7 @@
         """
         if not self._dependencies_of(record):
             return record, []
-        _value, stamp = await self._state.get(CANCELS)
+        _value, stamp = await self._state.get(CANCELLATION_COUNTER)
         return await self._walk(record, stamp)
 
     async def _walk(self, record, stamp):
@@ -86,7 +86,7 @@
                         next_level.append(other)
             level = next_level
         waits = list(islice((name for name in names if self._final_state(name) is None), MAX_WAITS_SHOWN))
-        return {**record, "waits": waits}, [(CANCELS, stamp)]
+        return {**record, "waits": waits}, [(CANCELLATION_COUNTER, stamp)]
 
     def _cached(self, name, stamp):
         """Returns the cached entry of a job that was open and not cancelled as of that stamp, or None."""
@@ -157,7 +157,7 @@
             names = missing
         found.update(dict.fromkeys(names))
 
-    async def admission(self, spec, own):
+    async def check_submission(self, spec, own):
         """Checks a submission that names upstream jobs.
 
         Returns (why it can never be accepted, or None; whether it is cancelled already, with one of its
@@ -170,7 +170,7 @@
         for name in spec.upstream:
             if not own(name):
                 return f"upstream: {name} was never accepted", False
-        _value, stamp = await self._state.get(CANCELS)
+        _value, stamp = await self._state.get(CANCELLATION_COUNTER)
         unknown = [
             name for name in spec.upstream if self._final_state(name) is None and name not in self._cache
         ]
--- a/roadhead/pipelines/dependency_queue.py
+++ b/roadhead/pipelines/dependency_queue.py
@@ -11,7 +11,7 @@
 
 from roadhead.jobs.job import RANK
 from roadhead.pipelines.dependency_index import CANCELLED, DependencyIndex
-from roadhead.pipelines.inherited_priorities import InheritedPriorities, wanted_of
+from roadhead.pipelines.inherited_priorities import InheritedPriorities, passed_priority
 from roadhead.runtime.loop import Signal
 from roadhead.state.client import UnavailableError, UnknownOutcomeError
 from roadhead.wire import frames
@@ -127,9 +127,9 @@
             self._job_store.on_upstream_done(job)
         for job in cancelled:
             self._cancel(job)
-        for name in self._priorities.over(job_id):
+        for name in self._priorities.remove_source(job_id):
             self._update_priority(name)
-        self._priorities.forget(job_id)
+        self._priorities.remove_target(job_id)
 
     def _cancel(self, job):
         """Cancels a job because one of its dependencies is cancelled. None of its tasks was ever started."""
@@ -174,7 +174,7 @@
             )
             self._flush_soon()
 
-    def on_over(self, frame):
+    def on_jobs_ended(self, frame):
         """Handles another controller's announcement of jobs that are over."""
         for job_id, tasks, done, ended, cancelled in frame.rows:
             if job_id not in self._job_store.final_records:
@@ -218,18 +218,18 @@
             return
         rows = []
         for job in jobs:
-            wanted = wanted_of(job, self._deadline_factors.get(job.spec.klass))
+            wanted = passed_priority(job, self._deadline_factors.get(job.spec.klass))
             own = job.spec.due_s is not None and job.accepted_at + job.spec.due_s <= job.due_by
-            end = job.id if own else self._priorities.end(job.id) or job.id
+            end = job.id if own else self._priorities.last_job(job.id) or job.id
             rows += [(name, job.id, *wanted, end) for name in self.dependencies.remaining(job)]
         for at in range(0, len(rows), MAX_ROWS_PER_FRAME):
             self._broadcast(frames.UpstreamPriorities(rows[at : at + MAX_ROWS_PER_FRAME]), False)
 
-    def on_wishes(self, frame):
+    def on_upstream_priorities(self, frame):
         """Handles the priorities that another owner's waiting jobs pass to jobs owned here."""
         now = self._loop.now()
         for name, by, *wanted in frame.rows:
-            if self._job_store.knows(name) and self._priorities.wish(name, by, *wanted, now):
+            if self._job_store.knows(name) and self._priorities.set_priority(name, by, *wanted, now):
                 self._update_priority(name)
 
     def _update_priority(self, job_id):
@@ -238,7 +238,7 @@
         job = waiting or self._job_store.jobs.get(job_id)
         if job is None:
             return
-        rank, due_by, last_by = self._priorities.of(job_id)
+        rank, due_by, last_by = self._priorities.inherited(job_id)
         rank = min(rank, RANK[job.spec.urgency])
         if (rank, due_by, last_by) == (job.rank, job.due_by, job.last_by):
             return
@@ -249,21 +249,21 @@
         else:
             self._job_store.raise_urgency(job, rank)
 
-    def at_risk(self, endangered):
+    def at_risk(self, is_at_risk):
         """Returns lines for operators about pipelines that are late or at risk.
 
-        Each names the last job of the pipeline and the stage that is late. `endangered(job)` tells by a job's
+        Each names the last job of the pipeline and the stage that is late. `is_at_risk(job)` tells by a job's
         estimate whether it is at risk.
         """
         late = [
             (job.due_by, name)
-            for name in self._priorities.wanted()
-            if (job := self._job_store.jobs.get(name)) is not None and endangered(job)
+            for name in self._priorities.target_ids()
+            if (job := self._job_store.jobs.get(name)) is not None and is_at_risk(job)
         ]
         late.sort()
         now = self._time_of_day()
         lines = [
-            f"the pipeline of {self._priorities.end(name)}: {name} should be done "
+            f"the pipeline of {self._priorities.last_job(name)}: {name} should be done "
             f"{'in' if due_by >= now else 'since'} {abs(due_by - now):.0f} s"
             for due_by, name in late[:MAX_LATE_SHOWN]
         ]
--- a/roadhead/pipelines/inherited_priorities.py
+++ b/roadhead/pipelines/inherited_priorities.py
@@ -7,7 +7,7 @@
 
 import math
 
-NONE = (99, math.inf, math.inf)  # no priority is passed: any urgency ranks higher
+NO_PRIORITY = (99, math.inf, math.inf)  # no priority is passed: any urgency ranks higher
 
 
 class InheritedPriorities:
@@ -23,25 +23,25 @@
         self._by_target = {}
         self._targets_by_source = {}  # passing job id -> {target job id: True}
 
-    def wish(self, job, by, rank, due_by, last_by, end, now):
+    def set_priority(self, job, by, rank, due_by, last_by, end, now):
         """Notes the priority that job `by` passes to `job`. Returns whether the inherited priority changes.
 
         `end` is the last job of the pipeline, whose deadline it is.
         """
-        before = self.of(job)
+        before = self.inherited(job)
         self._by_target.setdefault(job, {})[by] = (rank, due_by, last_by, now, end)
         self._targets_by_source.setdefault(by, {})[job] = True
-        return self.of(job) != before
+        return self.inherited(job) != before
 
-    def of(self, job):
+    def inherited(self, job):
         """Returns (rank, due_by, last_by) that a job inherits: the most urgent of each."""
         wishes = self._by_target.get(job)
         if not wishes:
-            return NONE
+            return NO_PRIORITY
         rank, due_by, last_by, _received_at, _last_job = zip(*wishes.values(), strict=True)
         return min(rank), min(due_by), min(last_by)
 
-    def over(self, by):
+    def remove_source(self, by):
         """Forgets all that job `by` passes to others. Returns the jobs it passed a priority to."""
         jobs = list(self._targets_by_source.get(by, ()))
         for job in jobs:
@@ -55,7 +55,7 @@
             if not index[key]:
                 del index[key]
 
-    def forget(self, job):
+    def remove_target(self, job):
         """Forgets all priorities passed to a job that is over, or owned elsewhere."""
         for by in list(self._by_target.get(job, ())):
             self._remove(job, by)
@@ -71,17 +71,17 @@
                 changed.append(job)
         return changed
 
-    def end(self, job):
+    def last_job(self, job):
         """Returns the last job of the pipeline whose deadline is the earliest for this job, or None."""
         wishes = self._by_target.get(job)
         return min(wishes.values(), key=lambda wish: wish[1])[4] if wishes else None
 
-    def wanted(self):
+    def target_ids(self):
         """Returns the ids of the jobs to which a priority is passed."""
         return list(self._by_target)
 
 
-def wanted_of(job, times):
+def passed_priority(job, times):
     """Returns (rank, due_by, last_by), the priority that a waiting job passes to its dependencies.
 
     They must be done when its own tasks have to start: at its deadline, or at that of a job that depends on
--- a/roadhead/pipelines/upstream_parts.py
+++ b/roadhead/pipelines/upstream_parts.py
@@ -8,20 +8,20 @@
 import logging
 import secrets
 
-from roadhead.jobs.job import KEY
+from roadhead.jobs.job import RECORD_PREFIX
 from roadhead.shards.hashing import rendezvous_choice
 from roadhead.state.client import ConflictError, RequestTooLargeError, UnavailableError, UnknownOutcomeError
 
 log = logging.getLogger("roadhead.parts")
 
-PARTS = "u/"
+PARTS_PREFIX = "u/"
 MAX_PART_BYTES_PER_TRANSACTION = 48 * 1024  # bytes of parts in one transaction, of which 64 KiB are allowed
 # In workers' leases. No creation takes that long, so parts that are older and that no record names are left
 # over.
 LEFT_OVER_AGE_LEASES = 10
 
 
-def split(names, largest, at):
+def split_names(names, largest, at):
     """Returns values of at most `largest` bytes as JSON that hold the names in order.
 
     `at` is the time of day that is stored with them.
@@ -36,12 +36,12 @@
     return values
 
 
-def key(job_id, nonce, number):
+def part_key(job_id, nonce, number):
     """Returns the key of a part."""
-    return f"{PARTS}{job_id}/{nonce}/{number:04d}"
+    return f"{PARTS_PREFIX}{job_id}/{nonce}/{number:04d}"
 
 
-async def whole(state, job_id, record):
+async def with_upstream(state, job_id, record):
     """Returns the record with its dependency list put together.
 
     Raises UnavailableError or UnknownOutcomeError.
@@ -49,7 +49,7 @@
     if record is None or "up" not in record:
         return record
     nonce, count = record["up"]
-    items, _revision = await state.list(f"{PARTS}{job_id}/{nonce}/")
+    items, _revision = await state.list(f"{PARTS_PREFIX}{job_id}/{nonce}/")
     if len(items) != count:
         raise UnavailableError(f"dependency list of job {job_id} has {len(items)} parts, expected {count}")
     names = [name for _key, value, _stamp in items for name in value["ids"]]
@@ -77,12 +77,12 @@
         """
         nonce = secrets.token_hex(4)
         largest = self._state.limits.value_bytes
-        values = split(names, largest, self._time_of_day())
+        values = split_names(names, largest, self._time_of_day())
         at, first = 0, 0
         while at < len(values):
             max_parts = max(1, min(self._state.batch, MAX_PART_BYTES_PER_TRANSACTION // largest))
             writes = [
-                {"put": key(job_id, nonce, number), "data": values[number]}
+                {"put": part_key(job_id, nonce, number), "data": values[number]}
                 for number in range(at, min(at + max_parts, len(values)))
             ]
             try:
@@ -97,7 +97,7 @@
                 await self._loop.sleep(self._lease_s / 48)
             if self._loop.now() > until:
                 return None
-        return (nonce, len(values)), (key(job_id, nonce, 0), first)
+        return (nonce, len(values)), (part_key(job_id, nonce, 0), first)
 
     async def collect(self):
         """Duty: one of the controllers goes through all parts now and then."""
@@ -113,16 +113,16 @@
 
     async def _collect_page(self):
         """Reads one page of parts and deletes those left over."""
-        items, more, _revision = await self._state.page(PARTS, self._after, 100)
+        items, more, _revision = await self._state.page(PARTS_PREFIX, self._after, 100)
         self._after = items[-1][0] if more else ""
         oldest_kept_at = self._time_of_day() - LEFT_OVER_AGE_LEASES * self._lease_s
         current_nonces, left_over = {}, []
         for name, value, stamp in items:
             if value["at"] > oldest_kept_at:
                 continue
-            job_id, nonce, _number = name[len(PARTS) :].split("/")
+            job_id, nonce, _number = name[len(PARTS_PREFIX) :].split("/")
             if job_id not in current_nonces:
-                record, _stamp = await self._state.get(KEY + job_id)
+                record, _stamp = await self._state.get(RECORD_PREFIX + job_id)
                 current_nonces[job_id] = record["up"][0] if record is not None and "up" in record else None
             if current_nonces[job_id] != nonce:
                 left_over.append((name, stamp))
--- a/roadhead/recovery/failover.py
+++ b/roadhead/recovery/failover.py
@@ -7,10 +7,10 @@
 
 import logging
 
-from roadhead.jobs.job import FINAL, FORMAT, KEY
+from roadhead.jobs.job import FINAL, RECORD_FORMAT, RECORD_PREFIX
 from roadhead.jobs.records import find
 from roadhead.membership.member import CLOCK_DRIFT
-from roadhead.pipelines.upstream_parts import whole
+from roadhead.pipelines.upstream_parts import with_upstream
 from roadhead.state.client import UnavailableError, UnknownOutcomeError
 from roadhead.wire import frames
 
@@ -68,7 +68,7 @@
         member, after = self._member, ""
         while member.joined and self._roster is roster:
             try:
-                items, more, _revision = await self._state.page(KEY, after)
+                items, more, _revision = await self._state.page(RECORD_PREFIX, after)
             except (UnavailableError, UnknownOutcomeError):
                 await self._loop.sleep(self._retry_s)
                 continue
@@ -76,8 +76,8 @@
                 return
             mine = []
             for key, record, stamp in items:
-                job_id = key[len(KEY) :]
-                if record.get("v", 0) > FORMAT:
+                job_id = key[len(RECORD_PREFIX) :]
+                if record.get("v", 0) > RECORD_FORMAT:
                     if not self._logged_newer_format:
                         self._logged_newer_format = True
                         log.error(
@@ -92,7 +92,8 @@
                     mine.append((record, stamp))
             try:
                 mine = [
-                    (await whole(self._state, record["spec"]["id"], record), stamp) for record, stamp in mine
+                    (await with_upstream(self._state, record["spec"]["id"], record), stamp)
+                    for record, stamp in mine
                 ]
             except (UnavailableError, UnknownOutcomeError):
                 await self._loop.sleep(self._retry_s)
@@ -119,7 +120,7 @@
                 if newest_cancelled_at is not None:
                     gone_at = newest_cancelled_at + self._cancel_s * (1 + CLOCK_DRIFT)
                     self._loop.call_later(max(0.0, gone_at - self._loop.now()), self._changed)
-            self._job_store.quota.all_read(member.term.number, gone_at)
+            self._job_store.quota.on_all_read(member.term.number, gone_at)
             self._changed()
             return
 
--- a/roadhead/scale/analysis.py
+++ b/roadhead/scale/analysis.py
@@ -80,7 +80,7 @@
             self.faults.append(text)
 
 
-def follow(events, workload, team_limit):
+def replay_events(events, workload, team_limit):
     """Returns the TaskHistory of TaskEvents and checks the rules ran_twice and quota.
 
     `team_limit`: CPU limit of each team, 0 for none.
--- a/roadhead/scale/command.py
+++ b/roadhead/scale/command.py
@@ -139,7 +139,7 @@
     def _add_tasks(self, figures, result):
         plan = self._plan
         events = analysis.read_events(sorted(self._layout.directory.glob("tasks-*.log")))
-        history = analysis.follow(events, Workload(plan), plan.teams.cpus_max)
+        history = analysis.replay_events(events, Workload(plan), plan.teams.cpus_max)
         analysis.check_cancelled(events, result.jobs, plan.timing.cancel_s, history)
         analysis.check_done(result.jobs, history)
         figures.faults += history.faults
@@ -207,7 +207,7 @@
     return 1 if figures.faults or figures.unended or figures.stopped else 0
 
 
-def part(arguments):
+def run_process(arguments):
     """Runs one process of a scale run: `state DIR`, `cloud DIR`, `workers DIR NUMBER` or `users DIR`."""
     from roadhead.scale import hollow, services  # noqa: PLC0415  each process imports only what it needs
 
--- a/roadhead/scale/hollow.py
+++ b/roadhead/scale/hollow.py
@@ -53,11 +53,11 @@
         arrival = self._workload.get(task.rpartition("/")[0])
         return None if arrival is None else {**arrival.job, "runS": arrival.run_s}
 
-    def on_machine(self, task, worker):
+    def on_task_started(self, task, worker):
         """Logs that a task has its image on a worker."""
         self.log.add("+", task, worker.name)
 
-    def off_machine(self, task, worker):
+    def on_task_gone(self, task, worker):
         """Logs that a task has ended or was killed."""
         self.log.add("-", task, worker.name)
 
@@ -74,8 +74,8 @@
         self._routines = []
         super().__init__(world, spec["name"], 0, kind, spec["zone"], spec["spot"], spec["address"])
 
-    async def _live(self):
-        self._routines.append(self.loop.spawn(super()._live(), self.name))
+    async def _run(self):
+        self._routines.append(self.loop.spawn(super()._run(), self.name))
 
     async def _watch_lease(self):
         while not self.dead:
@@ -95,7 +95,7 @@
 
     def cut(self, for_s):
         """Drops its traffic in both directions for `for_s` seconds; tasks run on until the lease ends."""
-        self.deaf_until = self.mute_until = self.sim.time + for_s
+        self.incoming_lost_until = self.outgoing_blocked_until = self.sim.time + for_s
 
     def restart(self):
         """Restarts the machine at once, in a new session and without its tasks."""
--- a/roadhead/scale/load.py
+++ b/roadhead/scale/load.py
@@ -16,7 +16,7 @@
 from roadhead.scale.layout import Layout
 from roadhead.scale.traffic import CountedNet, Traffic
 from roadhead.scale.workload import Workload
-from roadhead.wire.http import Client, NoResponseError
+from roadhead.wire.http import HttpClient, NoResponseError
 
 RESULT_FILE = "load.json"
 SUCCESS_STATUSES = (200, 201)
@@ -64,7 +64,7 @@
         self._traffic = Traffic()
         net = CountedNet(loop, self._traffic)
         self._fronts = layout.document["fronts"]
-        self._clients = [Client(loop, net, front, MAX_IDLE_CONNECTIONS) for front in self._fronts]
+        self._clients = [HttpClient(loop, net, front, MAX_IDLE_CONNECTIONS) for front in self._fronts]
         self._random = random.Random(layout.plan.seed)
         self._history = AnswerHistory()
         self._open_jobs = 0
@@ -143,7 +143,7 @@
         asked_at = self._loop.now()
         number = self._random.randrange(len(self._clients))
         if body is not None:
-            self._history.submitted(job_id, asked_at)
+            self._history.record_submission(job_id, asked_at)
         status, state = await self._send(self._clients[number], question, job_id, body, timeout_s)
         self._answers[f"{question.value} {status}"] += 1
         answer = Answer(job_id, question, self._fronts[number], asked_at, self._loop.now(), status, state)
--- a/roadhead/scale/services.py
+++ b/roadhead/scale/services.py
@@ -11,7 +11,7 @@
 from roadhead.scale.hollow import MACHINE_TYPE
 from roadhead.scale.layout import Layout, worker_address, zone_name
 from roadhead.scale.traffic import CountedNet, Traffic
-from roadhead.wire.http import Client, NoResponseError
+from roadhead.wire.http import HttpClient, NoResponseError
 
 COMMAND_TIMEOUT_S = 10.0  # timeout of a command to a process of workers
 RAM_GB_PER_CPU = 4.0
@@ -88,7 +88,7 @@
     def __init__(self, cloud, name, number, kind, zone, spot):
         self.name, self.number, self.kind, self.zone, self.spot = name, number, kind, zone, spot
         self.address = worker_address(cloud.network, number)
-        self.born = cloud.sim.time
+        self.created_at = cloud.sim.time
         self.boot_s = kind["startupS"] * cloud.sim.random.uniform(0.6, 1.5)
         self.tasks = {}  # read by CloudEmulator; empty, as only the worker's process knows its tasks
         self.failed = False
@@ -98,7 +98,7 @@
         """Returns the machine's status in the cloud's list of machines."""
         if self.failed:
             return "failed"
-        return "running" if self._cloud.sim.time > self.born + self.boot_s else "starting"
+        return "running" if self._cloud.sim.time > self.created_at + self.boot_s else "starting"
 
     def start_spec(self):
         """Returns the command with which a process of workers starts this machine's worker."""
@@ -136,7 +136,7 @@
         }
         capacity = -(-plan.cluster.workers // len(zones))
         super().__init__(world, [kind], capacity, world.plan["cloud"])
-        self._hosts = [Client(self.loop, Net(self.loop), address) for address in world.plan["hosts"]]
+        self._hosts = [HttpClient(self.loop, Net(self.loop), address) for address in world.plan["hosts"]]
         self.started, self.ended, self._restarted = [], [], []
         self._cut = []  # (machine, seconds)
         self.network = world.plan["network"]
--- a/roadhead/shards/balance.py
+++ b/roadhead/shards/balance.py
@@ -1,9 +1,9 @@
 """Decides which shards a leader gives away so that all leaders have about as many. A pure function."""
 
-STEP = 1 / 8  # of a leader's machines that one step may move at most
+MAX_MOVED_RATIO = 1 / 8  # of a leader's machines that one step may move at most
 
 
-def plan_moves(shard_map, label, takers, machines, most=STEP):
+def plan_moves(shard_map, label, takers, machines, most=MAX_MOVED_RATIO):
     """{shard: label} that the leader `label` gives away now; empty if the map is as even as it can be.
 
     `takers`: other leaders that may be given shards; `machines`: {shard: its machines} of this leader's
--- a/roadhead/state/client.py
+++ b/roadhead/state/client.py
@@ -10,7 +10,7 @@
 from roadhead.runtime.rate import Bucket
 from roadhead.state.latency import ResponseTimeEstimator
 from roadhead.wire import messages
-from roadhead.wire.http import Client, NoResponseError
+from roadhead.wire.http import HttpClient, NoResponseError
 
 log = logging.getLogger("roadhead.state")
 
@@ -19,7 +19,7 @@
 ANSWER_TIMEOUT_S = 3.0  # the longest wait for an answer
 COMPARE_TIMEOUT_S = 1.5  # the longest wait for a transaction without writes, for which users wait
 MIN_FAILURES = 2  # failures in a row after which the service counts as failing; a single one may be chance
-IDLE_PART = 0.2  # of its equal part is left to a controller that uses less than that
+IDLE_SHARE = 0.2  # of its equal part is left to a controller that uses less than that
 
 
 class UnavailableError(Exception):
@@ -59,7 +59,7 @@
 
     def __init__(self, loop, net, address, limits, nodes, on_lowered=None):
         self._loop = loop
-        self._http = Client(loop, net, address, max_idle=6)
+        self._http = HttpClient(loop, net, address, max_idle=6)
         # Sizes respect the lower limits from the start, since stored values must stay valid; the rates are
         # lowered only when the service refuses a request.
         self.limits = limits.planned()
@@ -96,7 +96,7 @@
             equal_part = limit / self._node_count
             # An idle controller keeps a part of its own, so that it can send at once when it has work.
             available = limit - sum(
-                equal_part if used is None else min(equal_part, max(used[index], IDLE_PART * equal_part))
+                equal_part if used is None else min(equal_part, max(used[index], IDLE_SHARE * equal_part))
                 for used in others
             )
             rate = USABLE_SHARE * max(equal_part, available)
--- a/roadhead/state/record_reader.py
+++ b/roadhead/state/record_reader.py
@@ -13,9 +13,9 @@
 MAX_BATCHES = 2  # batches served at the same time
 PARALLEL_READS = 4  # records of a batch that are read at the same time
 MAX_COMPARE_ROUNDS = 3  # comparisons per batch; records not found unchanged by then are read
-KEPT_MOST = 5000  # records
+MAX_CACHED_RECORDS = 5000  # records
 BATCHING_BELOW = 0.6  # of the request burst: with less left, polls are held back for a moment to form batches
-RESERVED = 0.1  # of the request burst, kept for leases and starts: polls wait meanwhile
+RESERVED_SHARE = 0.1  # of the request burst, kept for leases and starts: polls wait meanwhile
 BATCHING_DELAY = 0.05  # of `patience_s`: how long polls are held back
 RETRY_WITHIN = 0.25  # of `patience_s`: a comparison without an answer is repeated only within that time
 # Share of `patience_s`: after so long without any answer, polls are refused while one is waiting
@@ -49,7 +49,7 @@
         """Notes that a record of this name exists. Reads sent earlier and answered later may not find it."""
         self._existing.pop(name, None)
         self._existing[name] = True
-        if len(self._existing) > KEPT_MOST:
+        if len(self._existing) > MAX_CACHED_RECORDS:
             del self._existing[next(iter(self._existing))]
 
     async def read(self, name):
@@ -93,7 +93,7 @@
     async def _serve_waiting(self):
         try:
             while self._waiting:
-                if not self._state.requests.spare(RESERVED):
+                if not self._state.requests.spare(RESERVED_SHARE):
                     await self._loop.sleep(self._patience_s * BATCHING_DELAY)
                     continue
                 if not self._state.requests.spare(BATCHING_BELOW):
@@ -176,7 +176,7 @@
             return
         self._known.pop(name, None)
         self._known[name] = (record, conditions)
-        if len(self._known) > KEPT_MOST:
+        if len(self._known) > MAX_CACHED_RECORDS:
             del self._known[next(iter(self._known))]
         self._resolve(futures, record, sent_at)
 
--- a/roadhead/summary.py
+++ b/roadhead/summary.py
@@ -87,7 +87,7 @@
         at = self._time_of_day()
         behind += [
             f"{self.label}: {line}"
-            for line in job_store.dependency_queue.at_risk(lambda job: self._risk.endangered(job, at))
+            for line in job_store.dependency_queue.at_risk(lambda job: self._risk.is_at_risk(job, at))
         ]
         failing = sum(machine.draining and bool(machine.errors) for machine in leader.machines.values())
         rows = self._risk.rows(
@@ -126,11 +126,11 @@
             return "its jobs fail wherever they run"
         teams = self._job_store.teams
         if all(
-            self._job_store.quota.limited(job.spec.team) and teams.levels(job.spec.team) is None
+            self._job_store.quota.is_limited(job.spec.team) and teams.levels(job.spec.team) is None
             for job in jobs
         ):
             return "nothing of its tenant or team may start now"
-        if not any(self._dispatcher.may_start(job) for job in jobs):
+        if not any(self._dispatcher.quota_admits(job) for job in jobs):
             return "the team's limit is reached"
         refused = self._fleet.refused_kinds()
         if refused:
--- a/roadhead/tenants/admission.py
+++ b/roadhead/tenants/admission.py
@@ -14,7 +14,7 @@
 LIMIT_RETRY_S = 5  # `Retry-After` for a tenant that has reached its limits
 CREATION_SHARE = 0.25  # largest fraction of the creations that can be written in time for one tenant
 CREATION_SHARE_WITHIN_GUARANTEE = 0.5  # the same for work within a guarantee
-KEPT_MOST = 4096
+MAX_BUCKETS = 4096
 
 
 class Refusal(NamedTuple):
@@ -67,10 +67,10 @@
     return None
 
 
-class Rates:
+class SubmissionRates:
     """Rate limits of submissions: a token bucket for each recently seen tenant.
 
-    The least recently used bucket beyond KEPT_MOST is dropped; it has long been full again by then.
+    The least recently used bucket beyond MAX_BUCKETS is dropped; it has long been full again by then.
     """
 
     def __init__(self, loop):
@@ -84,7 +84,7 @@
         if bucket is None or bucket.rate != rate:
             bucket = Bucket(self._loop, rate, BURST_S * rate)
         self._buckets[tenant.number] = bucket
-        if len(self._buckets) > KEPT_MOST:
+        if len(self._buckets) > MAX_BUCKETS:
             del self._buckets[next(iter(self._buckets))]
         if bucket.try_take():
             return None
--- a/roadhead/tenants/admission_controller.py
+++ b/roadhead/tenants/admission_controller.py
@@ -35,7 +35,7 @@
         self.table = TenantTable(self._on_change)
         self.teams = TenantTeams(self.table)
         self.secrets = Secrets(hosted.master)
-        self._rates = admission.Rates(loop)
+        self._rates = admission.SubmissionRates(loop)
         self._waiting = {}  # group -> [when the cached count expires, waiting tasks]
         self._node = None
         self._removal = self._preemption = None
@@ -46,7 +46,7 @@
         self._removal = Removal(self._loop, node, self.table)
         return [self._removal.run]
 
-    def share(self, node):
+    def begin_fair_sharing(self, node):
         """Makes a new incarnation's queue follow guarantees and weights."""
         workers = node.settings.deployment.workers
         window_s = workers.lease_s
@@ -88,7 +88,7 @@
             return
         tenant = new.tenant
         group = str(tenant.number)
-        if self.teams.stopping(group):
+        if self.teams.must_stop_running(group):
             self._node.job_store.stop_group(group)
         self._removal.note(tenant)
         if old is not None and tenant.state != old.tenant.state:
@@ -99,20 +99,20 @@
         """The membership term has changed."""
         self._removal.wake()
 
-    def tick(self, every):
+    def on_heartbeat(self, every):
         """Runs with each heartbeat; `every` is a running count of them.
 
         Every sixth time it also stops the work of suspended or removed tenants that an ended owner left
         running.
         """
-        self._preemption.tell()
+        self._preemption.broadcast_borrowed()
         for group in self._node.job_store.accounts.groups() if every % 6 == 0 else ():
-            if self.teams.stopping(group):
+            if self.teams.must_stop_running(group):
                 self._node.job_store.stop_group(group)
 
     # Guards of job creations (jobs/recorder.py)
 
-    def of(self, job):
+    def condition_for(self, job):
         """Returns the (key, stamp) that must still hold when the job's record is created.
 
         The tenant's record must be the one known here. So no job is created after the change that ended
@@ -124,7 +124,7 @@
             return tenant_key(number), NO_RECORD_STAMP
         return tenant_key(number), entry.stamp
 
-    def later(self, job):
+    def exceeds_guarantee(self, job):
         """Returns whether the job exceeds its team's guarantee: such jobs are written after those within."""
         return not self._within(job.spec)
 
@@ -137,7 +137,7 @@
         held = account.held if account is not None else NO_RESOURCES
         return fitting_count((spec.cpus, spec.gpus), (team.cpus - held[0], team.gpus - held[1])) > 0
 
-    def changed(self, key, record, stamp):
+    def is_creation_forbidden(self, key, record, stamp):
         """Takes the current value of a guard's key. Returns whether creations under it must fail."""
         if record is not None:
             self.table.take(key, record, stamp)
@@ -147,7 +147,7 @@
 
     def signed(self, request):
         """Returns whether a gateway signed the request."""
-        return self.secrets.signed(
+        return self.secrets.is_signature_valid(
             request.headers.get("roadhead-signature"),
             request.method,
             request.target,
@@ -156,7 +156,7 @@
         )
 
     @staticmethod
-    def neighbours(job_id):
+    def same_tenant_check(job_id):
         """Returns a predicate: does another job id belong to the same tenant?"""
         named = ids.from_job(job_id)
 
--- a/roadhead/tenants/keys.py
+++ b/roadhead/tenants/keys.py
@@ -54,7 +54,7 @@
         text = f"rh-{number}-{key_id}-{secret}"
         return text, self.digest(text)
 
-    def good(self, text, key):
+    def matches(self, text, key):
         """Returns whether `text` matches the stored Key or None, in the same time for both."""
         stored = key.digest if key is not None else "0" * 64
         return hmac.compare_digest(self.digest(text), stored) and key is not None
@@ -66,7 +66,7 @@
         timestamp = f"{now:.3f}"
         return f"{timestamp}:{self._mac(method, target, body, timestamp)}"
 
-    def signed(self, value, method, target, body, now):
+    def is_signature_valid(self, value, method, target, body, now):
         """Returns whether the request carries a gateway's valid signature.
 
         Replayed requests are harmless: submissions and cancellations are idempotent.
--- a/roadhead/tenants/preemption.py
+++ b/roadhead/tenants/preemption.py
@@ -46,7 +46,7 @@
 
     # Owner of waiting tasks
 
-    def waits(self, jobs):
+    def on_waiting_within_guarantee(self, jobs):
         """Takes the jobs whose tasks still wait within their guarantees after a placing pass."""
         now = self._loop.now()
         waiting = set(jobs)
@@ -110,12 +110,12 @@
         """Takes another owner's report of what it borrows."""
         self._borrowed[label] = (frame.cpus, frame.gpus, frame.memory)
 
-    def tell(self):
+    def broadcast_borrowed(self):
         """Broadcasts what is borrowed here, with each heartbeat."""
         total = NO_RESOURCES
         for group in self._job_store.accounts.groups():
             for team in self._job_store.accounts.get(group).teams:
-                total = tuple(map(sum, zip(total, self._fair_share.borrowed(team), strict=True)))
+                total = tuple(map(sum, zip(total, self._fair_share.borrowed_resources(team), strict=True)))
         labels = self._member.term.members
         self._borrowed = {label: held for label, held in self._borrowed.items() if label in labels}
         for label in labels:
@@ -139,7 +139,7 @@
         now = self._loop.now()
         for group in accounts.groups():
             for team in accounts.get(group).teams:
-                ahead = self._fair_share.ahead(team)
+                ahead = self._fair_share.weighted_borrowed_share(team)
                 if ahead <= 0:
                     continue
                 for job in accounts.get(team).jobs:
@@ -154,7 +154,7 @@
         """Returns the CPU seconds of work lost by stopping the task."""
         if binding.status != "running":
             return 0.0
-        ran_s = self._loop.now() - binding.at
+        ran_s = self._loop.now() - binding.bound_at
         spec = job.spec
         return spec.cpus * (min(ran_s, spec.save_s) if spec.checkpoint_s > 0 else ran_s)
 
@@ -192,7 +192,7 @@
         taken = {}  # team -> resources of its tasks that would stop
         for victim in tasks:
             team, job, _index, _binding = victim
-            excess = left.setdefault(team, self._fair_share.borrowed(team))
+            excess = left.setdefault(team, self._fair_share.borrowed_resources(team))
             to_stop = tuple(map(sum, zip(taken.get(team, NO_RESOURCES), job.resources, strict=True)))
             if to_stop[0] > excess[0] + 1e-6 or to_stop[1] > excess[1] + 1e-6:
                 continue
--- a/roadhead/tenants/records.py
+++ b/roadhead/tenants/records.py
@@ -13,8 +13,8 @@
 
 from roadhead.membership.member import TENANT
 
-NAME = "n/"
-NEXT = "n/"  # key of the next free number; it can't be a name's, as no name is empty
+NAME_PREFIX = "n/"
+NEXT_NUMBER_KEY = "n/"  # key of the next free number; it can't be a name's, as no name is empty
 ADMINISTRATORS = 0
 ACTIVE, SUSPENDED, REMOVING, REMOVED = "active", "suspended", "removing", "removed"
 FINISH, STOP = "finish", "stop"
--- a/roadhead/tenants/removal.py
+++ b/roadhead/tenants/removal.py
@@ -12,9 +12,9 @@
 
 import logging
 
-from roadhead.jobs.job import ARCHIVE, FINAL, KEY, cancelled_record
+from roadhead.jobs.job import ARCHIVE, FINAL, RECORD_PREFIX, cancelled_record
 from roadhead.membership.member import CANCEL
-from roadhead.pipelines.ancestry import CANCELS
+from roadhead.pipelines.ancestry import CANCELLATION_COUNTER
 from roadhead.runtime.loop import Signal
 from roadhead.shards.hashing import rendezvous_choice
 from roadhead.state.client import ConflictError, UnavailableError, UnknownOutcomeError
@@ -98,14 +98,16 @@
     async def _step(self, entry):
         """Does one step of a removal. Returns the number of writes it took."""
         tenant = entry.tenant
-        still_open = await self._find_items(KEY, tenant.number, lambda record: record["s"] not in FINAL)
+        still_open = await self._find_items(
+            RECORD_PREFIX, tenant.number, lambda record: record["s"] not in FINAL
+        )
         if still_open:
             self._quiet_since.pop(tenant.number, None)
             return await self._cancel(entry, still_open)
         since = self._quiet_since.setdefault(tenant.number, self._loop.now())
         if self._loop.now() - since < CANCEL_MARGIN * self._cancel_s:
             return 0
-        for place in (KEY, ARCHIVE, CANCEL):
+        for place in (RECORD_PREFIX, ARCHIVE, CANCEL):
             items = await self._find_items(place, tenant.number, lambda record: True)
             if items:
                 return await self._drop(entry, items)
@@ -133,14 +135,14 @@
         items = items[: self._max_jobs]
         writes = []
         for key, record, _stamp in items:
-            job_id = key[len(KEY) :]
+            job_id = key[len(RECORD_PREFIX) :]
             writes += [{"put": key, "data": cancelled_record(record)}, {"put": CANCEL + job_id, "data": True}]
-        writes.append({"put": CANCELS, "data": job_id})
+        writes.append({"put": CANCELLATION_COUNTER, "data": job_id})
         try:
             await self._state.multi([(key, stamp) for key, _record, stamp in items], writes)
         except ConflictError:
             return len(writes)  # a job's owner wrote progress meanwhile
-        jobs = [key[len(KEY) :] for key, _record, _stamp in items]
+        jobs = [key[len(RECORD_PREFIX) :] for key, _record, _stamp in items]
         for job_id in jobs:
             self._node.job_store.cancelled(job_id)
         self._node.announce_cancelled(jobs)
--- a/roadhead/tenants/teams.py
+++ b/roadhead/tenants/teams.py
@@ -31,7 +31,7 @@
         """Returns the Team, or None."""
         return self._table.team(name)[1]
 
-    def most(self, name):
+    def limits_of(self, name):
         """Returns the (CPU, GPU) limits of the team and of its tenant; 0 is no limit."""
         entry, team = self._table.team(name)
         limits = entry.tenant.limits
@@ -61,7 +61,7 @@
         entry, team = self._table.team(name)
         return (entry.tenant.weight, team.weight) if team is not None else (1.0, 1.0)
 
-    def stopping(self, group):
+    def must_stop_running(self, group):
         """Returns whether a group's running work must stop.
 
         That is so if its tenant is removed, or suspended with `running` = `stop`.
@@ -112,7 +112,7 @@
             by_rank = chain.from_iterable(self._accounts.get(group).by_rank)
             yield from islice((job for job in by_rank if job.unstarted and job.state == "open"), each)
 
-    def borrowed(self, team):
+    def borrowed_resources(self, team):
         """Returns the (cpus, gpus, memory) that a team holds beyond its guarantee.
 
         Memory has no guarantee of its own: the same fraction of it counts as borrowed as of the CPUs.
@@ -123,10 +123,10 @@
         over = [max(0.0, part - own) for part, own in zip(held, sure, strict=False)]
         return (*over, held[2] * (over[0] / held[0] if held[0] > 0 else 1.0))
 
-    def ahead(self, team):
+    def weighted_borrowed_share(self, team):
         """Returns a team's dominant share of borrowed resources, divided by both weights."""
         tenant, own = self._teams.weights(team)
-        return dominant_share(self.borrowed(team), self._totals()) / (tenant * own)
+        return dominant_share(self.borrowed_resources(team), self._totals()) / (tenant * own)
 
     def assign_positions(self, jobs):
         """Sets `queue_position`, `sure` and `part` of each job with waiting tasks.
@@ -157,7 +157,9 @@
                 borrowers.setdefault(self._teams.group(team), {}).setdefault(team, []).append(job)
         queue = []  # (share / weight, weight, first borrowing job) of each borrowing tenant
         for group, teams in borrowers.items():
-            share = sum(dominant_share(self.borrowed(team), totals) for team in self._teams_of(group, teams))
+            share = sum(
+                dominant_share(self.borrowed_resources(team), totals) for team in self._teams_of(group, teams)
+            )
             weight = self._teams.weights(next(iter(teams)))[0]
             for job, before in self._merge_by_weight(teams, totals):
                 job.borrowed_position = self._base + self._step * (share + before) / weight
@@ -187,7 +189,9 @@
         heads = []
         for team, jobs in teams.items():
             weight = self._teams.weights(team)[1]
-            heads.append((dominant_share(self.borrowed(team), totals) / weight, team, weight, 0, jobs))
+            heads.append(
+                (dominant_share(self.borrowed_resources(team), totals) / weight, team, weight, 0, jobs)
+            )
         heapq.heapify(heads)
         before = 0.0
         while heads:
--- a/roadhead/wire/frames.py
+++ b/roadhead/wire/frames.py
@@ -215,7 +215,7 @@
 class Grant(Frame):
     """Grants free capacity of a machine to the receiver, or updates the capacity of a granted machine.
 
-    `taken` counts the starts under this grant that the capacity already accounts for; `lapse_s` is the
+    `taken` counts the starts under this grant that the capacity already accounts for; `lifetime_s` is the
     grant's lifetime in seconds.
     """
 
@@ -232,7 +232,7 @@
         "gpus",
         "memory",
         "images",
-        "lapse_s",
+        "lifetime_s",
     )
 
 
--- a/roadhead/wire/http.py
+++ b/roadhead/wire/http.py
@@ -62,7 +62,7 @@
         self.close = close
 
 
-class Parser:
+class HttpParser:
     """Incremental parser: `feed` bytes, then take complete messages with `next`."""
 
     def __init__(self, response=False, max_body=MAX_BODY):
@@ -187,7 +187,7 @@
     A request that has begun but is incomplete after `request_timeout_s` is answered 408; an idle connection
     is closed after six times that.
     """
-    parser = Parser()
+    parser = HttpParser()
     idle_s = 6 * request_timeout_s
     idle_deadline = loop.now() + idle_s
     idle_timer = None
@@ -257,7 +257,7 @@
         self.sent = sent
 
 
-class Client:
+class HttpClient:
     """Sends requests to one server and keeps up to `max_idle` idle connections open for reuse."""
 
     def __init__(self, loop, net, address, max_idle=4, max_body=64 * 1024 * 1024):
@@ -293,7 +293,7 @@
         keep = False
         try:
             stream.write(request_bytes(method, target, self.address, body, headers, media_type))
-            parser = Parser(response=True, max_body=self._max_body)
+            parser = HttpParser(response=True, max_body=self._max_body)
             while (message := parser.next()) is None:
                 data = await stream.read()
                 if not data:
--- a/roadhead/wire/messages.py
+++ b/roadhead/wire/messages.py
@@ -98,7 +98,7 @@
         raise InvalidMessageError(str(error)) from None
 
 
-def write(struct):
+def encode_struct(struct):
     """Encodes a struct as CBOR."""
     return cbor2.dumps(msgspec.to_builtins(struct))
 
--- a/tests/answer_order.py
+++ b/tests/answer_order.py
@@ -80,10 +80,10 @@
         super().__init__(world, job)
         self._own = own
 
-    async def _ask(self, method, path, body, timeout, via=None):
+    async def _request(self, method, path, body, timeout, via=None):
         if via is None and not self.accepted:
             via = self._own
-        reply = await super()._ask(method, path, body, timeout, via)
+        reply = await super()._request(method, path, body, timeout, via)
         state = reply.body.get("status") if reply.body else None
         controller = "" if via is None else self.world.fronts[via]
         question = RequestKind.POLL if method == "GET" else RequestKind.SUBMIT
@@ -189,9 +189,9 @@
             return
         methods = REQUEST_METHODS[int(job_id[-1]) - 1]
         if "GET" in methods:
-            self.user_loop.spawn(user._ask("GET", f"/v1/jobs/{job_id}", None, 2.0, via), "ask")
+            self.user_loop.spawn(user._request("GET", f"/v1/jobs/{job_id}", None, 2.0, via), "ask")
         if "POST" in methods and (self._event in EVENTS_OF_NEW_JOBS or user.accepted):
-            self.user_loop.spawn(user._ask("POST", "/v1/jobs", user.submission(), 5.0, via), "repeat")
+            self.user_loop.spawn(user._request("POST", "/v1/jobs", user.submission(), 5.0, via), "repeat")
 
     def _ask_often(self, number):
         for step in range(round((QUERY_BEFORE_S + QUERY_AFTER_S) / QUERY_INTERVAL_S)):
--- a/tests/enumerated.py
+++ b/tests/enumerated.py
@@ -8,7 +8,7 @@
 from roadhead.local.world import World
 
 
-def first_meetings():
+def first_combinations():
     """Yields ((link lost, for, confirmed, back, outage), scenario text) of the first fault combination.
 
     The state service refuses one controller from second 40 on. The parameters, all in seconds: when after
@@ -102,7 +102,7 @@
     return "\n".join(lines)
 
 
-def played_leader(case):
+def run_leader_cut(case):
     """Plays a case: (its parameters, rules broken, jobs not ended, tasks killed, tasks given back)."""
     parameters, text = case
     world = World(text).run()
@@ -117,7 +117,7 @@
     rows = {}
     with multiprocessing.Pool(jobs) as pool:
         for parameters, faults, unended, killed, given_back in pool.imap_unordered(
-            played_leader, leader_cuts()
+            run_leader_cut, leader_cuts()
         ):
             row = rows.setdefault(parameters[4:], [0, 0, 0, 0, 0])
             for column, value in enumerate((1, bool(faults), bool(unended), killed, given_back)):
@@ -129,7 +129,7 @@
         print(f"{trouble:14} | {run_s:8} | {count:6} | {broken:6} | {unended:14} | {killed:6} | {given_back}")
 
 
-def played_first(case):
+def run_first_combination(case):
     """Plays a case: (its parameters, rules broken, longest run after a cancellation, tasks killed)."""
     parameters, text = case
     world = World(text).run()
@@ -140,7 +140,9 @@
     """Plays all cases of the first fault combination and prints the results by confirmer and outage."""
     rows = {}
     with multiprocessing.Pool(jobs) as pool:
-        for parameters, broken, gone, killed in pool.imap_unordered(played_first, first_meetings()):
+        for parameters, broken, gone, killed in pool.imap_unordered(
+            run_first_combination, first_combinations()
+        ):
             row = rows.setdefault((str(parameters[3]), parameters[4]), [0, 0, 0.0, 0])
             row[0] += 1
             row[1] += bool(broken)
--- a/tests/fault_combinations.py
+++ b/tests/fault_combinations.py
@@ -166,7 +166,7 @@
 )
 
 
-def played(combination):
+def run_case(combination):
     """Plays a Combination and returns its Outcome. Every job is expected to end."""
     world = World(combination.text).run()
     open_jobs = sum(
@@ -182,7 +182,7 @@
     rows = {}
     combinations = itertools.chain.from_iterable(generate() for generate in GENERATORS)
     with multiprocessing.Pool(args.jobs) as pool:
-        for outcome in pool.imap_unordered(played, combinations):
+        for outcome in pool.imap_unordered(run_case, combinations):
             row = rows.setdefault(outcome.combination.name, [0, 0, 0])
             row[0] += 1
             row[1] += bool(outcome.faults)
--- a/tests/handovers.py
+++ b/tests/handovers.py
@@ -17,7 +17,7 @@
 
 import conftest  # noqa: F401  sets up sys.path
 
-from roadhead.jobs.job import KEY
+from roadhead.jobs.job import RECORD_PREFIX
 from roadhead.local.world import World
 from roadhead.membership.member import MEMBER, TERM
 
@@ -26,7 +26,7 @@
 HANDOVER_S = 16.0  # commits within this time belong to the handover
 # Commits of the term and members' entries, and of job records, that are used of each handover.
 MAX_TERM_COMMITS, MAX_RECORD_COMMITS = 4, 2
-KEY_PREFIXES = (TERM, MEMBER, KEY)
+KEY_PREFIXES = (TERM, MEMBER, RECORD_PREFIX)
 OFFSETS_S = (-0.05, 0.0, 0.05, 0.3, 1.0)
 SUBMIT_BEFORE_S = 1.1  # a task started so long before is still fetching its image at the cancellation
 GONE_S = 600.0  # beyond the end of the scenario: the controller does not return
@@ -129,11 +129,11 @@
 
         self.rules.cancelled_at = self.cancelled_at = CancellationTimes()
 
-    def on_machine(self, task, worker):
+    def on_task_started(self, task, worker):
         told = self.cancelled_at.get(task.rpartition("/")[0])
         if told is not None:
             self.starts_after.append(self.sim.time - told)
-        super().on_machine(task, worker)
+        super().on_task_started(task, worker)
 
 
 def text_of(step, more=()):
@@ -168,8 +168,12 @@
 
     world.state.multi = multi
     world.run()
-    changes = [Commit(when, kind) for when, kind in found.items() if kind != KEY][:MAX_TERM_COMMITS]
-    records = [Commit(when, kind) for when, kind in found.items() if kind == KEY and when >= changes[0].when]
+    changes = [Commit(when, kind) for when, kind in found.items() if kind != RECORD_PREFIX][:MAX_TERM_COMMITS]
+    records = [
+        Commit(when, kind)
+        for when, kind in found.items()
+        if kind == RECORD_PREFIX and when >= changes[0].when
+    ]
     return tuple(changes + records[:MAX_RECORD_COMMITS])
 
 
@@ -211,7 +215,7 @@
     return Case(name, number, commit.key, offset, via, fault, text_of(name, lines), tuple(told))
 
 
-def played(case):
+def run_case(case):
     """Plays a Case and returns its Outcome."""
     world = HandoverWorld(case.text, case.when_told).run()
     users = world.users.values()
@@ -257,7 +261,7 @@
     chosen = (case for case in cases() if args.step in (None, case.step))
     rows = {}
     with multiprocessing.Pool(args.jobs) as pool:
-        for outcome in pool.imap_unordered(played, itertools.islice(chosen, args.first, None, args.every)):
+        for outcome in pool.imap_unordered(run_case, itertools.islice(chosen, args.first, None, args.every)):
             case = outcome.case
             rows.setdefault((case.step, case.fault), Row()).add(outcome)
             if outcome.faults or outcome.unended:
--- a/tests/hunt.py
+++ b/tests/hunt.py
@@ -21,17 +21,17 @@
 import conftest  # noqa: F401  sets up sys.path
 from drawn_days import drawn, drawn_meetings, drawn_pipelines, drawn_report_orders
 from enumerated import (
-    first_meetings,
+    first_combinations,
     leader_cuts,
-    played_first,
-    played_leader,
+    run_first_combination,
+    run_leader_cut,
     table_of_first,
     table_of_leaders,
 )
 
 from roadhead.local.world import World
 
-__all__ = ("first_meetings", "leader_cuts", "played_first", "played_leader")
+__all__ = ("first_combinations", "leader_cuts", "run_first_combination", "run_leader_cut")
 
 
 def played(seed):
@@ -60,7 +60,7 @@
         if user.accepted and user.last_state not in ("done", "cancelled")
     ]
     for job, user in world.users.items():
-        if user.last_state == "done" and world.cancelled_above(job):
+        if user.last_state == "done" and world.upstream_cancelled_at(job):
             faults.append(f"{job} is done, and one that it needs cancelled")
     if world.state.oversized:
         faults.append(f"{world.state.oversized} writes were too large")
--- a/tests/limit_failovers.py
+++ b/tests/limit_failovers.py
@@ -152,7 +152,7 @@
 }
 
 
-def played(case):
+def run_case(case):
     """Plays a case. Returns (its parameters, rules broken, jobs that did not end, state left behind)."""
     which, text = case
     world = LimitWorld(text).run()
@@ -174,7 +174,7 @@
     rows = {}
     with multiprocessing.Pool(args.jobs) as pool:
         cases = list(FAMILIES[args.family]())[args.first :: args.every]
-        for which, faults, undone, left in pool.imap_unordered(played, cases):
+        for which, faults, undone, left in pool.imap_unordered(run_case, cases):
             row = rows.setdefault((which[3], which[1]), [0, 0, 0, 0])
             for column, value in enumerate((True, faults, undone, left)):
                 row[column] += bool(value)
--- a/tests/measure_flood.py
+++ b/tests/measure_flood.py
@@ -83,7 +83,7 @@
             cluster.tenant()
             headers = [("Authorization", f"Bearer {cluster._secrets.root_key()}")]
             address = cluster.plan["administration"]
-            status, _answer = cluster._insist(
+            status, _answer = cluster._request_until_final(
                 address,
                 "PATCH",
                 f"/admin/v1/tenants/{local.TENANT}",
@@ -91,14 +91,14 @@
                 headers=[*headers, ("If-Match", '"2"')],
             )
             assert status == 200
-            cluster._insist(
+            cluster._request_until_final(
                 address,
                 "POST",
                 "/admin/v1/tenants",
                 {"name": "loud", "teams": [{"name": "crew"}], "limits": {"submissions": 2}},
                 headers=headers,
             )
-            _status, answer = cluster._insist(
+            _status, answer = cluster._request_until_final(
                 address, "POST", "/admin/v1/tenants/loud/keys", {"scopes": ["submit"]}, headers=headers
             )
             loud = [("Authorization", f"Bearer {answer['key']}")]
@@ -155,7 +155,7 @@
 def upload(cluster, own):
     """Uploads the command of the flood's tasks, so that they do occupy their machines."""
     number = local.ids.to_job(2, own)
-    cluster._insist(
+    cluster._request_until_final(
         cluster.plan["cloud"],
         "POST",
         f"/uploads/{number}",
--- a/tests/profile_size.py
+++ b/tests/profile_size.py
@@ -51,11 +51,11 @@
         super().__init__(loop.sim, loop.rate, loop.offset)
         self._world = measured_world
 
-    def _go(self, fn, args):
+    def _run_or_hold(self, fn, args):
         begun = time.perf_counter()
         self._world.profile.enable()
         try:
-            super()._go(fn, args)
+            super()._run_or_hold(fn, args)
         finally:
             self._world.profile.disable()
             busy_s = time.perf_counter() - begun
--- a/tests/term_history.py
+++ b/tests/term_history.py
@@ -1,6 +1,6 @@
 """Checks invariants over all terms and record formats that were in force during a simulated run."""
 
-from roadhead.jobs.job import KEY, NOBODY
+from roadhead.jobs.job import NO_OWNER, RECORD_PREFIX
 from roadhead.membership.format_gate import FIRST_FORMAT, GATE
 from roadhead.membership.member import TERM
 from roadhead.membership.term import Term
@@ -28,7 +28,7 @@
                 self._check_term(event["data"])
             elif key == GATE:
                 self._check_format(event["data"])
-            elif key.startswith(KEY) and event["data"]["s"] == "open" and key not in known_jobs:
+            elif key.startswith(RECORD_PREFIX) and event["data"]["s"] == "open" and key not in known_jobs:
                 known_jobs.add(key)
                 self._check_creator(key, event["data"])
 
@@ -59,5 +59,5 @@
 
     def _check_creator(self, key, record):
         owner = tuple(record["o"])
-        if owner != NOBODY and not self._term.serves(*owner):
+        if owner != NO_OWNER and not self._term.serves(*owner):
             self.faults.append(f"{key} was created by {owner}, which is not a member of the term")
--- a/tests/test_cancel_and_move.py
+++ b/tests/test_cancel_and_move.py
@@ -25,19 +25,19 @@
 @pytest.mark.parametrize("number", range(SAMPLED_CASES))
 def test_cancelling_while_work_moves_in_a_sample(number):
     """Safety 4 (docs/design.md): cancelled tasks end in time; `tests/handovers.py` plays all cases."""
-    outcome = handovers.played(next(itertools.islice(handovers.cases(), 197 * number + 5, None)))
+    outcome = handovers.run_case(next(itertools.islice(handovers.cases(), 197 * number + 5, None)))
     assert (outcome.faults, outcome.unended) == ([], 0), outcome.case
 
 
 def test_tasks_of_cancelled_jobs_outlive_the_cancellation_in_a_case():
     """Machines that receive nothing keep such tasks for a while; else the cases would check nothing."""
     case = next(case for case in handovers.cases() if case.fault == "deaf" and case.offset == 1.0)
-    assert 1 < handovers.played(case).longest_gone < handovers.CANCEL_S
+    assert 1 < handovers.run_case(case).longest_gone < handovers.CANCEL_S
 
 
 def do_not_send_cancellations_to_peers(patch):
     """4: cancellations are not sent to peers; a successor learns of them only from its watch."""
-    patch.setattr(Node, "_tell_cancelled", lambda self, label, jobs: None)
+    patch.setattr(Node, "_send_cancellations", lambda self, label, jobs: None)
 
 
 def delete_cancellation_marks_at_once(patch):
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -243,7 +243,7 @@
 
     has_limits = False
 
-    def limited(self, _team):
+    def is_limited(self, _team):
         return False
 
 
@@ -302,7 +302,7 @@
         Counters(),
         gap_s=0.25,
         window_s=12.0,
-        default_aim_s=180.0,
+        default_target_s=180.0,
     )
     dispatcher.queue.time_of_day = lambda: 10.0
     dispatcher.queue.capacity = lambda: 100.0
@@ -516,9 +516,9 @@
 
 
 def test_a_placement_pass_costs_in_proportion_to_jobs_plus_grants():
-    plain = calls(make_dispatcher(50, 20)._place)
-    jobs = calls(make_dispatcher(200, 20)._place)
-    both = calls(make_dispatcher(200, 80)._place)
+    plain = calls(make_dispatcher(50, 20)._run_placement)
+    jobs = calls(make_dispatcher(200, 20)._run_placement)
+    both = calls(make_dispatcher(200, 80)._run_placement)
     assert jobs <= 4.6 * plain
     assert both <= 4.6 * plain
 
@@ -526,8 +526,8 @@
 def test_a_placement_pass_costs_the_same_however_many_jobs_wait_behind():
     def cost_of_one_more(jobs):
         dispatcher = make_dispatcher(jobs, 1)
-        dispatcher._place()
+        dispatcher._run_placement()
         dispatcher.on_grant(frames.Grant("n-000777", 2, 0, "box", "a", "here", True, 1.0, 0.0, 4.0, [], 10.0))
-        return calls(dispatcher._place)
+        return calls(dispatcher._run_placement)
 
     assert 0 < cost_of_one_more(500) <= cost_of_one_more(50) + 20
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -29,7 +29,7 @@
     ids=lambda combination: f"{combination.name} {combination.parameters}",
 )
 def test_no_rule_breaks_and_every_job_ends(combination):
-    outcome = fault_combinations.played(combination)
+    outcome = fault_combinations.run_case(combination)
     assert (outcome.faults, outcome.open_jobs) == ([], 0)
 
 
@@ -60,7 +60,7 @@
     """All jobs finish, no machine is overcommitted, and critical jobs end before those of low urgency."""
     world = run_over_slow_links(seed)
     assert world.check() == []
-    done_at = {job: user.told_at for job, user in world.users.items()}
+    done_at = {job: user.state_changed_at for job, user in world.users.items()}
     low, critical = list(done_at.values())[:10], list(done_at.values())[16:22]
     assert max(critical) < max(low)
 
@@ -157,8 +157,8 @@
     for combination in itertools.islice(itertools.cycle(generate()), first, first + MAX_CASES):
         with pytest.MonkeyPatch.context() as patch:
             mutate(patch)
-            detected = fault_combinations.played(combination).faults
+            detected = fault_combinations.run_case(combination).faults
         if detected:
-            assert fault_combinations.played(combination).faults == []
+            assert fault_combinations.run_case(combination).faults == []
             return
     raise AssertionError(f"not detected: {mutate.__doc__}")
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -16,7 +16,7 @@
     Each answer: (request kind, asked at, answered at, status, state).
     """
     history = history or AnswerHistory()
-    history.submitted(job, 0.0)
+    history.record_submission(job, 0.0)
     return [
         fault.rule
         for kind, asked, answered, status, *state in answers
--- a/tests/test_limited_demand.py
+++ b/tests/test_limited_demand.py
@@ -36,13 +36,13 @@
         }
         self._is_counted = is_counted
 
-    def limited(self, team):
+    def is_limited(self, team):
         return team != "free"
 
-    def counted(self, team):
+    def is_counted(self, team):
         return self._is_counted
 
-    def level_rooms(self, team):
+    def headroom_by_level(self, team):
         return self._headroom_by_team[team]
 
 
