--- a/tests/test_limits_and_failover.py
+++ b/tests/test_limits_and_failover.py
@@ -3,10 +3,10 @@
 from types import SimpleNamespace
 
 import pytest
-from limit_failovers import COURSES, combinations, hosted_combinations, partitioned_combinations, played
+from limit_failovers import COURSES, combinations, hosted_combinations, partitioned_combinations, run_case
 from mutation import assert_noticed
 
-from roadhead.jobs.job import KEY, NOBODY
+from roadhead.jobs.job import NO_OWNER, RECORD_PREFIX
 from roadhead.jobs.job_store import JobStore
 from roadhead.jobs.quota import QuotaPartitions
 from roadhead.jobs.teams import Accounts
@@ -45,20 +45,20 @@
 
 def count_cancelled_tasks_at_first_successor_only(patch):
     """Only the first successor waits for cancelled tasks; after a second change of leader nobody does."""
-    real, successors = QuotaPartitions.all_read, []
+    real, successors = QuotaPartitions.on_all_read, []
 
-    def all_read(self, number, gone_at):
+    def on_all_read(self, number, gone_at):
         if gone_at is not None and self not in successors:
             successors.append(self)
         real(self, number, gone_at if successors[:1] == [self] else None)
 
-    patch.setattr(QuotaPartitions, "all_read", all_read)
+    patch.setattr(QuotaPartitions, "on_all_read", on_all_read)
 
 
 def ignore_cancelled_tasks(patch):
     """Tasks of jobs that were cancelled before the successor read the records are not counted."""
-    real = QuotaPartitions.all_read
-    patch.setattr(QuotaPartitions, "all_read", lambda self, number, _gone_at: real(self, number, None))
+    real = QuotaPartitions.on_all_read
+    patch.setattr(QuotaPartitions, "on_all_read", lambda self, number, _gone_at: real(self, number, None))
 
 
 def start_before_all_leaders_reported(patch):
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("case", SAMPLE, ids=lambda case: "-".join(map(str, case[0])))
 def test_a_team_at_its_limit_is_served_under_combined_faults(case):
-    _which, faults, undone, left_behind = played(case)
+    _which, faults, undone, left_behind = run_case(case)
     assert (faults, undone, left_behind) == ([], [], [])
 
 
@@ -105,8 +105,8 @@
     world = World(f"partitions {partitions}\n{SIX_TEAMS}").run()
     assert world.check() == []
     assert all(user.last_state == "done" for user in world.users.values())
-    records = [event["data"] for event in world.state.log if event.get("put", "").startswith(KEY)]
-    owners = {tuple(record["o"]) for record in records} - {NOBODY}
+    records = [event["data"] for event in world.state.log if event.get("put", "").startswith(RECORD_PREFIX)]
+    owners = {tuple(record["o"]) for record in records} - {NO_OWNER}
     assert len(owners) == leaders
     assert len(set(world.nodes[0].member.term.quota_leaders)) == leaders
 
@@ -122,7 +122,7 @@
     """Nothing of such a job is left to write, so it once stayed in the failover state forever."""
     wanted = (2, "cut", "during", "back at once")
     case = next(case for case in combinations() if case[0] == wanted)
-    assert played(case)[1:] == ([], [], [])
+    assert run_case(case)[1:] == ([], [], [])
 
 
 @pytest.mark.parametrize(
@@ -169,14 +169,14 @@
 
 def suppress_job_queries(patch, begin, end):
     """Users query no job between `begin` and `end`, which would make the controller read its upstream."""
-    real = EmulatedUser._ask
+    real = EmulatedUser._request
 
     async def ask(self, method, *args):
         if method == "GET" and begin < self.sim.time < end:
             return Reply(0, None, self.sim.time)
         return await real(self, method, *args)
 
-    patch.setattr(EmulatedUser, "_ask", ask)
+    patch.setattr(EmulatedUser, "_request", ask)
 
 
 RELEASED_BEFORE_FAILOVER = """
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -123,7 +123,7 @@
         cluster.tenant()
         headers = [("Authorization", f"Bearer {cluster._secrets.root_key()}")]
         address = cluster.plan["administration"]
-        cluster._insist(
+        cluster._request_until_final(
             address,
             "POST",
             "/admin/v1/tenants",
@@ -134,7 +134,7 @@
             },
             headers=headers,
         )
-        _status, answer = cluster._insist(
+        _status, answer = cluster._request_until_final(
             address, "POST", "/admin/v1/tenants/loud/keys", {"scopes": ["submit", "read"]}, headers=headers
         )
         loud = [("Authorization", f"Bearer {answer['key']}")]
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -15,7 +15,7 @@
 from roadhead.api.answers import Answer
 from roadhead.api.server import Api
 from roadhead.gateway.tenants_api import TenantsApi, authenticate
-from roadhead.jobs.job import ARCHIVE, KEY
+from roadhead.jobs.job import ARCHIVE, RECORD_PREFIX
 from roadhead.jobs.job_store import JobStore
 from roadhead.jobs.records import RecordArchiver
 from roadhead.jobs.transactions import RecordWrite
@@ -84,7 +84,7 @@
 
 def is_record_stamp(key, stamp, _writes):
     """5: job records are overwritten whatever their stamp is."""
-    return key.startswith(KEY) and stamp != 0
+    return key.startswith(RECORD_PREFIX) and stamp != 0
 
 
 def is_term_of_creation(key, _stamp, writes):
@@ -189,7 +189,7 @@
     """5: a record is deleted before it is written to the archive, where readers look next."""
 
     async def move(self, moves):
-        await self._state.multi([], [{"drop": KEY + job_id} for job_id, _record, _stamp in moves])
+        await self._state.multi([], [{"drop": RECORD_PREFIX + job_id} for job_id, _record, _stamp in moves])
         await self._state.multi(
             [], [{"put": ARCHIVE + job_id, "data": record} for job_id, record, _ in moves]
         )
@@ -206,7 +206,7 @@
         try:
             return await real(self, conditions, writes, patient)
         except UnknownOutcomeError:
-            if not writes or not writes[0].get("put", "").startswith(upstream_parts.PARTS):
+            if not writes or not writes[0].get("put", "").startswith(upstream_parts.PARTS_PREFIX):
                 raise
             again = [{"put": f"{write['put']}-again", "data": write["data"]} for write in writes]
             return await real(self, conditions, again, patient)
@@ -355,7 +355,7 @@
 
 def do_not_forward_cancellations(patch):
     """4: a controller that only the state service refuses learns of cancellations from nobody."""
-    patch.setattr(Node, "_tell_cancelled", lambda self, label, jobs: None)
+    patch.setattr(Node, "_send_cancellations", lambda self, label, jobs: None)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -18,8 +18,8 @@
 @pytest.mark.parametrize("number", range(12))
 def test_the_first_meeting_in_a_sample_of_its_orders(number):
     """Safety 4, for one order and spacing in 47; `tests/hunt.py --first-meeting` plays all."""
-    case = next(itertools.islice(hunt.first_meetings(), 47 * number + 3, None))
-    which, broken, _gone, _killed = hunt.played_first(case)
+    case = next(itertools.islice(hunt.first_combinations(), 47 * number + 3, None))
+    which, broken, _gone, _killed = hunt.run_first_combination(case)
     assert broken == 0, which
 
 
@@ -27,7 +27,7 @@
 def test_a_leader_cut_off_from_all_but_its_workers_in_a_sample(number):
     """Safety 3 and 4, for one case in 187; `tests/hunt.py --leader` plays all."""
     case = next(itertools.islice(hunt.leader_cuts(), 187 * number + 9, None))
-    which, faults, unended, _killed, _given_back = hunt.played_leader(case)
+    which, faults, unended, _killed, _given_back = hunt.run_leader_cut(case)
     assert (faults, unended) == ([], 0), which
 
 
@@ -38,7 +38,7 @@
 
 def test_contact_with_peers_counts_only_while_it_is_unbroken():
     """Peers forward cancellations for `keep_s`; a controller without contact for longer has missed some."""
-    freshness = CancellationFreshness(blind_s=16, keep_s=256)
+    freshness = CancellationFreshness(max_staleness_s=16, keep_s=256)
     freshness.refresh(watched_at=100, heard_at=None)
     assert freshness.is_within_staleness_bound(115) and not freshness.is_within_staleness_bound(117)
     freshness.refresh(100, heard_at=150)  # by then the peers have forwarded all of the last 50 s
@@ -69,8 +69,8 @@
     statuses = []
 
     async def ask():
-        statuses.append((await user._ask("GET", f"/v1/jobs/{user.id}", None, 2.0, 0))[0])
-        statuses.append((await user._ask("POST", f"/v1/jobs/{user.id}/cancel", None, 2.0, 0))[0])
+        statuses.append((await user._request("GET", f"/v1/jobs/{user.id}", None, 2.0, 0))[0])
+        statuses.append((await user._request("POST", f"/v1/jobs/{user.id}/cancel", None, 2.0, 0))[0])
 
     for incarnation in (node.member.incarnation, 0):
         node.member.incarnation = incarnation
@@ -81,7 +81,7 @@
 
 def test_the_number_of_announced_cancellations_is_bounded(monkeypatch):
     """Each announced one is kept and forwarded; beyond the bound a request is refused at once."""
-    monkeypatch.setattr("roadhead.node.CANCELLED_MOST", 3)
+    monkeypatch.setattr("roadhead.node.MAX_CANCELLATIONS", 3)
     node = World("at 1 submit legs=1\nuntil 15").run().nodes[0]
     for number in range(3):
         node.announce_cancelled([f"req-{number}"])
--- a/tests/test_odd_requests.py
+++ b/tests/test_odd_requests.py
@@ -13,7 +13,7 @@
 from roadhead.local.world import World
 from roadhead.runtime.loop import Timeout
 from roadhead.wire import messages
-from roadhead.wire.http import Client, NoResponseError
+from roadhead.wire.http import HttpClient, NoResponseError
 
 NEW_JOB_ID = "req-900001"
 AT_ONCE_S = 0.05
@@ -106,7 +106,7 @@
         world, found = self.world, []
 
         async def request():
-            client = Client(world.user_loop, world.user_net, world.fronts[number], 0)
+            client = HttpClient(world.user_loop, world.user_net, world.fronts[number], 0)
             begun = world.sim.time
             try:
                 status, answer, headers = await client.request(method, path, data, 5.0)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -19,7 +19,7 @@
 from roadhead.pipelines.ancestry import Ancestry
 from roadhead.pipelines.dependency_index import CANCELLED, DONE, DependencyIndex
 from roadhead.pipelines.dependency_queue import DependencyQueue
-from roadhead.pipelines.inherited_priorities import NONE, InheritedPriorities, wanted_of
+from roadhead.pipelines.inherited_priorities import NO_PRIORITY, InheritedPriorities, passed_priority
 from roadhead.settings import LaterLimits, StateLimits
 from roadhead.state.client import StateClient
 from roadhead.tenants import records
@@ -115,33 +115,35 @@
 
 def test_a_stage_inherits_the_urgency_and_an_earlier_deadline_from_the_last():
     last = Job(spec(3, [2], due_s=100.0, urgency="high", estimate_s=8.0), ("a", 1), 1000.0)
-    assert wanted_of(last, (1.0, 1.5)) == (1, 1092.0, 1142.0)
+    assert passed_priority(last, (1.0, 1.5)) == (1, 1092.0, 1142.0)
     middle = Job(spec(2, [1], urgency="low", estimate_s=20.0), ("a", 1), 1000.0)
     inherited = InheritedPriorities(48.0)
-    assert inherited.wish(middle.id, last.id, *wanted_of(last, (1.0, 1.5)), last.id, 1001.0)
-    rank, middle.due_by, middle.last_by = inherited.of(middle.id)
+    assert inherited.set_priority(middle.id, last.id, *passed_priority(last, (1.0, 1.5)), last.id, 1001.0)
+    rank, middle.due_by, middle.last_by = inherited.inherited(middle.id)
     middle.raise_urgency(rank)
-    assert wanted_of(middle, None) == (1, 1072.0, 1122.0) and middle.shape[0] == 1
+    assert passed_priority(middle, None) == (1, 1072.0, 1122.0) and middle.shape[0] == 1
 
 
 def test_an_inherited_priority_ends_with_its_job_or_when_not_repeated():
     inherited = InheritedPriorities(10.0)
-    inherited.wish("req-1", "req-2", 0, 50.0, 60.0, "req-8", 0.0)
-    inherited.wish("req-1", "req-3", 1, 40.0, 90.0, "req-9", 5.0)
-    assert inherited.of("req-1") == (0, 40.0, 60.0) and inherited.end("req-1") == "req-9"
-    assert inherited.over("req-2") == ["req-1"] and inherited.of("req-1") == (1, 40.0, 90.0)
-    assert not inherited.wish("req-1", "req-3", 1, 40.0, 90.0, "req-9", 9.0)
+    inherited.set_priority("req-1", "req-2", 0, 50.0, 60.0, "req-8", 0.0)
+    inherited.set_priority("req-1", "req-3", 1, 40.0, 90.0, "req-9", 5.0)
+    assert inherited.inherited("req-1") == (0, 40.0, 60.0) and inherited.last_job("req-1") == "req-9"
+    assert inherited.remove_source("req-2") == ["req-1"] and inherited.inherited("req-1") == (1, 40.0, 90.0)
+    assert not inherited.set_priority("req-1", "req-3", 1, 40.0, 90.0, "req-9", 9.0)
     assert (
-        inherited.expire(15.0) == [] and inherited.expire(20.0) == ["req-1"] and inherited.of("req-1") == NONE
+        inherited.expire(15.0) == []
+        and inherited.expire(20.0) == ["req-1"]
+        and inherited.inherited("req-1") == NO_PRIORITY
     )
-    inherited.wish("req-1", "req-3", 1, 40.0, 90.0, "req-9", 21.0)
-    inherited.forget("req-1")
-    assert inherited.over("req-3") == [] and NONE[1] == math.inf
+    inherited.set_priority("req-1", "req-3", 1, 40.0, 90.0, "req-9", 21.0)
+    inherited.remove_target("req-1")
+    assert inherited.remove_source("req-3") == [] and NO_PRIORITY[1] == math.inf
 
 
 def test_upstream_parts_hold_all_ids_in_order_and_fit_a_value():
     names = [f"req-{number:030d}" for number in range(1600)]
-    values = upstream_parts.split(names, 2048, 1e9)
+    values = upstream_parts.split_names(names, 2048, 1e9)
     assert [name for value in values for name in value["ids"]] == names
     assert max(len(messages.msgspec.json.encode(value)) for value in values) <= 2048
     assert max(len(str(value).replace(" ", "  ")) for value in values) > 1500
@@ -235,7 +237,7 @@
 
     loop.spawn(ask())
     loop.run_until(1.0)
-    assert store.reads <= 5 and answers[0][1] == [(ancestry.CANCELS, 5)]
+    assert store.reads <= 5 and answers[0][1] == [(ancestry.CANCELLATION_COUNTER, 5)]
     loop.spawn(ask())
     loop.run_until(2.0)
     assert store.reads <= 6 and answers[1] == answers[0]
@@ -352,17 +354,17 @@
 
 def cancellations_not_counted(patch):
     """A cancellation does not change the key that invalidates the cached ancestors."""
-    patch.setattr("roadhead.api.cancellation_writer.CANCELS", "c/y")
+    patch.setattr("roadhead.api.cancellation_writer.CANCELLATION_COUNTER", "c/y")
     patch.setattr(DependencyQueue, "_cancel", lambda self, job: None)
 
 
 def accepted_unseen(patch):
     """A submission whose upstream job was never accepted is accepted."""
 
-    async def admission(self, _spec, _own):
+    async def check_submission(self, _spec, _own):
         return None, False
 
-    patch.setattr(Ancestry, "admission", admission)
+    patch.setattr(Ancestry, "check_submission", check_submission)
 
 
 def opened_by_those_alive(patch):
@@ -456,10 +458,10 @@
 def test_an_ended_job_is_recorded_once_and_its_writer_overrides_others():
     node = make_node_with_waiting(3)
     dependency_queue = node.job_store.dependency_queue
-    dependency_queue.on_over(frames.JobsEnded([("req-7", 2, 2, 1e9, False)]))
+    dependency_queue.on_jobs_ended(frames.JobsEnded([("req-7", 2, 2, 1e9, False)]))
     assert len(node.job_store.jobs) == 13 and node.job_store.final_records["req-7"]["e"] == 1e9
     assert all(job.released_at == 1e9 for job in list(node.job_store.jobs.values())[10:])
-    dependency_queue.on_over(frames.JobsEnded([("req-7", 2, 0, 0.0, True)]))
+    dependency_queue.on_jobs_ended(frames.JobsEnded([("req-7", 2, 0, 0.0, True)]))
     assert node.job_store.final_records["req-7"]["s"] == "done"
 
 
--- a/tests/test_read_order.py
+++ b/tests/test_read_order.py
@@ -93,7 +93,7 @@
 
     async def ask():
         target, body = ("/v1/jobs", job) if method == "POST" else (f"/v1/jobs/{name}", None)
-        answers.append(await user._ask(method, target, body, 5.0, 1))
+        answers.append(await user._request(method, target, body, 5.0, 1))
 
     world.user_loop.spawn(ask(), "ask")
     world.sim.run_until(25.0)
@@ -130,7 +130,7 @@
     world.held[f"/store/f/{user.id}"] = 0.2
 
     async def ask():
-        answers.append(await user._ask("GET", f"/v1/jobs/{user.id}", None, 5.0, 1))
+        answers.append(await user._request("GET", f"/v1/jobs/{user.id}", None, 5.0, 1))
 
     world.user_loop.spawn(ask(), "ask")
     world.sim.call_at(20.02, world.user_loop.spawn, user.run(), "submit")
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -5,12 +5,12 @@
 import pytest
 from test_odd_requests import Asked, body
 
-from roadhead.api.answers import TEXTS, Cause, RequestKind, counter_of, refusal_of
+from roadhead.api.answers import TEXTS, Cause, RequestKind, counter_name, to_refusal
 from roadhead.local.world import World
 from roadhead.node import Node
 from roadhead.runtime.loop import Timeout
 from roadhead.state.client import ConflictError, StateClient, UnavailableError, UnknownOutcomeError
-from roadhead.state.record_reader import RESERVED
+from roadhead.state.record_reader import RESERVED_SHARE
 
 OPERATIONS = Path(__file__).parent.parent / "docs" / "operations.md"
 
@@ -25,7 +25,7 @@
 
     def count(self, request_kind, cause):
         """Returns how many requests of a kind controller 0 refused for a cause."""
-        return self.world.nodes[0].counters.counts.get(counter_of(request_kind, cause), 0)
+        return self.world.nodes[0].counters.counts.get(counter_name(request_kind, cause), 0)
 
 
 def test_each_cause_is_documented_for_operators():
@@ -46,7 +46,7 @@
     ],
 )
 def test_errors_of_reads_and_writes_have_a_cause(error, cause):
-    assert refusal_of(error).cause is cause
+    assert to_refusal(error).cause is cause
 
 
 def test_refusals_are_counted_and_listed_in_the_summary():
@@ -137,7 +137,7 @@
     client.world.state.down = True
     client.world.sim.spawn(submit(), "submit")
     client.world.sim.run_until(15.5)
-    node.member._lose()
+    node.member._end_incarnation()
     client.world.sim.run_until(15.6)
     assert [answer.status for answer, _ in answers] == [503]
     assert client.count(RequestKind.SUBMISSION, Cause.NOT_A_MEMBER) == 1
@@ -149,7 +149,7 @@
     requests = client.world.nodes[0].state.requests
 
     async def get(self, key):
-        has_spare_requests.append(requests.spare(RESERVED))
+        has_spare_requests.append(requests.spare(RESERVED_SHARE))
         return await real(self, key)
 
     monkeypatch.setattr(StateClient, "get", get)
@@ -198,7 +198,7 @@
 
 def test_world_counts_refusals_by_cause():
     world = World("until 30\nat 1 submit count=2 legs=1 runS=500\nat 10 outage 10\nat 12 cancel 1").run()
-    assert world.counter(counter_of(RequestKind.CANCELLATION, Cause.STATE_UNAVAILABLE)) > 0
+    assert world.counter(counter_name(RequestKind.CANCELLATION, Cause.STATE_UNAVAILABLE)) > 0
 
 
 def test_concurrent_cancellations_share_writes_and_do_not_delay_creations():
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from roadhead.jobs.job_store import MAX_FINALS
+from roadhead.jobs.job_store import MAX_FINAL_RECORDS
 from roadhead.local.world import World
 from roadhead.membership.term import Term
-from roadhead.state.record_reader import KEPT_MOST
+from roadhead.state.record_reader import MAX_CACHED_RECORDS
 
 # Scenario lines of an event that is in progress from second 20 on, and its duration in s.
 EVENTS = {
@@ -72,11 +72,11 @@
     def check_limits():
         for node in world.nodes.values():
             workers = node.workers
-            assert sum(workers._asking) <= workers._sockets.max_command_requests
+            assert sum(workers._in_flight) <= workers._sockets.max_command_requests
             assert len(workers._clients) <= workers._sockets.max_idle_command_connections
             assert (
-                len(node.job_store.final_records) <= MAX_FINALS
-                and len(node.record_reader._known) <= KEPT_MOST
+                len(node.job_store.final_records) <= MAX_FINAL_RECORDS
+                and len(node.record_reader._known) <= MAX_CACHED_RECORDS
             )
         for host in [f"10.0.0.{number + 1}" for number in range(3)]:
             open_now = sum(stream.host == host and not stream.closed for stream in world.network._streams)
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -112,14 +112,14 @@
 def apply_limit_per_controller(patch):
     """Limits: every controller starts tasks of a limited team, each up to the whole limit."""
 
-    def level_rooms(self, team):
+    def headroom_by_level(self, team):
         account = self._accounts.get(team)
         jobs = account.jobs if account is not None else ()
         used = sum(len(job.bound) * job.spec.cpus for job in jobs)
         return {team: (self._teams.get(team).cpus_max - used, float("inf"))}
 
-    patch.setattr(QuotaPartitions, "level_rooms", level_rooms)
-    patch.setattr(QuotaPartitions, "counted", lambda self, team: True)
+    patch.setattr(QuotaPartitions, "headroom_by_level", headroom_by_level)
+    patch.setattr(QuotaPartitions, "is_counted", lambda self, team: True)
     patch.setattr(QuotaPartitions, "owns", lambda self, team: True)
 
 
@@ -188,9 +188,9 @@
     def fence_shards(self, shards, short):
         real(self, shards, short)
         for shard in shards:
-            self._fences[shard].since = self._loop.now()
+            self._fences[shard].led_since = self._loop.now()
             self._fences[shard].covered = True
-            self._fences[shard].awaited.clear()
+            self._fences[shard].awaited_machines.clear()
 
     patch.setattr(ShardReconciliation, "fence_shards", fence_shards)
 
@@ -215,13 +215,13 @@
 
 def silence_non_members(patch):
     """4: a dropped controller that can't rejoin sends no heartbeats, so that the others lose contact."""
-    patch.setattr(Node, "_speaks", lambda self: self.member.joined)
+    patch.setattr(Node, "_may_send_heartbeats", lambda self: self.member.joined)
 
 
 def ignore_cancelled_tasks_in_limits(patch):
     """Limits: tasks of jobs that were cancelled before the successor read the records are not counted."""
-    real = QuotaPartitions.all_read
-    patch.setattr(QuotaPartitions, "all_read", lambda self, number, _gone_at: real(self, number, None))
+    real = QuotaPartitions.on_all_read
+    patch.setattr(QuotaPartitions, "on_all_read", lambda self, number, _gone_at: real(self, number, None))
 
 
 def treat_partly_applied_list_as_complete(patch):
@@ -232,7 +232,7 @@
 
 def register_machines_after_lease_end(patch):
     """3: a shard leader whose lease has ended accepts reports of machines that booted since."""
-    patch.setattr(ReportProcessor, "_too_late", lambda self, machine: False)
+    patch.setattr(ReportProcessor, "_may_be_led_elsewhere", lambda self, machine: False)
 
 
 def always_use_short_fence(patch):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -80,7 +80,7 @@
 
 
 def follow_events(text, limit=0.0):
-    return analysis.follow(events(text), Workload(plan.parse(ONE_CLASS.encode())), limit)
+    return analysis.replay_events(events(text), Workload(plan.parse(ONE_CLASS.encode())), limit)
 
 
 def test_a_task_on_two_workers_is_noticed():
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -65,7 +65,7 @@
     assert {term.leader_of(name) for name in MACHINE_NAMES} == set(LABELS)
     for name in MACHINE_NAMES:
         if term.leader_of(name) == "ctl-2":
-            assert after.leader_of(name) != "ctl-2" and after.leader_and_token(name)[1] == term.next
+            assert after.leader_of(name) != "ctl-2" and after.leader_and_token(name)[1] == term.next_token
         else:
             assert after.leader_and_token(name) == term.leader_and_token(name)
     counts = after.shard_map.counts(after.leaders)
@@ -77,7 +77,7 @@
     back = term.join("ctl-1", "other")
     for name in MACHINE_NAMES:
         leader, token = term.leader_and_token(name)
-        assert back.leader_and_token(name) == (leader, term.next if leader == "ctl-1" else token)
+        assert back.leader_and_token(name) == (leader, term.next_token if leader == "ctl-1" else token)
     more = term.join("ctl-4", "nonce")
     assert all(more.leader_and_token(name) == term.leader_and_token(name) for name in MACHINE_NAMES)
 
@@ -135,7 +135,7 @@
             term = term.move(plan_moves(term.shard_map, label, takers, machines), label)
         assert set(term.shard_map.leaders) <= term.leaders
         for place, (old, new) in enumerate(zip(before.shard_map.tokens, term.shard_map.tokens, strict=True)):
-            assert new == old or new >= before.next
+            assert new == old or new >= before.next_token
             if new == old:  # a shard that keeps its token keeps its leader in the same incarnation
                 leader = term.shard_map.leaders[place]
                 assert leader == before.shard_map.leaders[place]
@@ -283,7 +283,7 @@
     for count in (3, 9):
         labels = [f"drover-{number}" for number in range(count)]
         term, _ = balanced(term_with_members(labels))
-        term.next = 999_900
+        term.next_token = 999_900
         for _ in range(3):
             for shard in range(SHARD_COUNT):
                 term = term.raise_share(shard)
@@ -309,7 +309,7 @@
     )
     workers.shard_leader = leader
     workers._clients[machine.id] = client
-    routine = loop.spawn(workers._ask(machine, False), "ask")
+    routine = loop.spawn(workers._run_requests(machine, False), "ask")
     loop.run_until(1.0)
     return routine
 
@@ -332,7 +332,7 @@
             leader.registry.remove(machine)
             answer = report(0, 0, sequence=5)
             answer.session = 3
-            return 409, messages.write(answer), None
+            return 409, messages.encode_struct(answer), None
 
     routine = run_direct_command(leader, machine, FakeClient())
     assert routine.done.done and routine.done.result() is None and asked == [machine.id]
@@ -355,7 +355,7 @@
             authority[0] = False
             answer = report(0, 0, sequence=5)
             answer.session = 2
-            return 409, messages.write(answer), None
+            return 409, messages.encode_struct(answer), None
 
     routine = run_direct_command(leader, machine, Answering(), counters, lambda: authority[0])
     assert routine.done.done and routine.done.result() is None
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -38,5 +38,5 @@
     until 69
     """).run()
     assert world.killed >= 4 and world.violations == []
-    muted = [worker for worker in world.cloud.rented.values() if worker.mute_until > 69]
+    muted = [worker for worker in world.cloud.rented.values() if worker.outgoing_blocked_until > 69]
     assert muted and all(worker.session > 1 for worker in muted)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -28,7 +28,7 @@
 from roadhead.tenants.table import TenantTable
 from roadhead.tenants.teams import FairShare, TenantTeams, dominant_share
 from roadhead.wire import frames, messages
-from roadhead.wire.http import Client
+from roadhead.wire.http import HttpClient
 
 fixed = settings(derandomize=True, database=None, max_examples=100, deadline=None)
 tenant_job_ids = st.text(ids.ALPHABET, min_size=1, max_size=ids.LONGEST)
@@ -99,10 +99,10 @@
     assert keys.new_key(7, 3, "again") == (text, digest) != keys.new_key(7, 4, "again")
     assert split_key(text) == (7, 3) and split_key("rh-7-3-xyz") is None
     assert digest not in text and text.rpartition("-")[2] not in digest
-    assert keys.good(text, records.Key(3, digest, []))
-    assert not keys.good(text, None) and not Secrets(b"n" * 32).good(text, records.Key(3, digest, []))
+    assert keys.matches(text, records.Key(3, digest, []))
+    assert not keys.matches(text, None) and not Secrets(b"n" * 32).matches(text, records.Key(3, digest, []))
     signature = keys.sign("POST", "/v1/jobs", b"body", 1000.0)
-    assert keys.signed(signature, "POST", "/v1/jobs", b"body", 1050.0)
+    assert keys.is_signature_valid(signature, "POST", "/v1/jobs", b"body", 1050.0)
     for now, body, value in (
         (1200.0, b"body", signature),
         (1000.0, b"other", signature),
@@ -110,21 +110,21 @@
         (1000.0, b"body", "x:y"),
         (1000.0, b"body", "nan:"),
     ):
-        assert not keys.signed(value, "POST", "/v1/jobs", body, now)
+        assert not keys.is_signature_valid(value, "POST", "/v1/jobs", body, now)
 
 
 def test_submission_rates_are_limited_with_a_retry_time():
     sim = Sim(1)
-    rates = admission.Rates(sim)
+    rates = admission.SubmissionRates(sim)
     slow = tenant(limits=records.Limits(submissions=0.5))
     assert [rates.take(slow) for _ in range(5)] == [None] * 5
     refusal = rates.take(slow)
     assert (refusal.status, refusal.retry_after) == (429, 3)
     sim.time += 2.5
     assert rates.take(slow) is None and rates.take(slow).status == 429
-    for number in range(admission.KEPT_MOST + 10):
+    for number in range(admission.MAX_BUCKETS + 10):
         rates.take(records.Tenant(number + 10, "t"))
-    assert len(rates._buckets) == admission.KEPT_MOST
+    assert len(rates._buckets) == admission.MAX_BUCKETS
 
 
 def test_one_tenant_cannot_use_all_creations():
@@ -149,7 +149,7 @@
             "answers": None,
         },
     )
-    guards = type("Guards", (), {"later": staticmethod(lambda job: job.spec.team == "1/b")})
+    guards = type("Guards", (), {"exceeds_guarantee": staticmethod(lambda job: job.spec.team == "1/b")})
     recorder = Recorder(sim, state, 1.0, None, None, None, None, member, guards, Counters())
     jobs = [
         Job(
@@ -437,7 +437,7 @@
 
 
 async def _unsigned_request(world, path):
-    return await Client(world.user_loop, world.user_net, world.fronts[0], 0).request("GET", path)
+    return await HttpClient(world.user_loop, world.user_net, world.fronts[0], 0).request("GET", path)
 
 
 # Isolation: a tenant's answers do not depend on other tenants
@@ -556,7 +556,7 @@
     assert taken >= step
     assert world.violations == []
     assert world.state.data[records.tenant_key(world.tenancy.numbers["laenuvara"])][0]["state"] == "removed"
-    assert world.tenancy.left_of(world.tenancy.numbers["laenuvara"]) == []
+    assert world.tenancy.stored_keys(world.tenancy.numbers["laenuvara"]) == []
     assert tenants_told(world, "kestrel", "done") == []
 
 
@@ -581,11 +581,11 @@
         world = World(f"{LATE}\nseed {seed}")
         with pytest.MonkeyPatch.context() as patch:
             if not guarded:
-                patch.setattr(TenantAdmissionController, "of", lambda self, job: None)
+                patch.setattr(TenantAdmissionController, "condition_for", lambda self, job: None)
             world.run()
         number = world.tenancy.numbers["laenuvara"]
         state = world.state.data[records.tenant_key(number)][0]["state"]
-        left.append(bool(world.tenancy.left_of(number)) or state != "removed" or bool(world.violations))
+        left.append(bool(world.tenancy.stored_keys(number)) or state != "removed" or bool(world.violations))
     assert any(left) != guarded
 
 
@@ -725,7 +725,7 @@
         accounts.hold(job, binding)
 
     class Quota:
-        def limited(self, team):
+        def is_limited(self, team):
             return False
 
     class JobStore:
@@ -824,15 +824,15 @@
         0.0,
     )
     waiting.within_guarantee = 4
-    preemption.waits([waiting])
+    preemption.on_waiting_within_guarantee([waiting])
     assert send.sent == []
     sim.time += 1.5
-    preemption.waits([waiting])
+    preemption.on_waiting_within_guarantee([waiting])
     assert [(label, frame.rows[0][3]) for label, frame in send.sent] == [("there", 3), ("here", 1)]
-    preemption.waits([waiting])
+    preemption.on_waiting_within_guarantee([waiting])
     assert len(send.sent) == 2  # the first request is still pending
     sim.time += 6.0
-    preemption.waits([waiting])
+    preemption.on_waiting_within_guarantee([waiting])
     assert len(send.sent) == 4
 
 
@@ -947,7 +947,7 @@
 
 async def _cbor(call, path, body, key):
     address = call.tenancy._hosted[0].gateway.tenants
-    client = Client(call.world.user_loop, call.world.user_net, address, 0)
+    client = HttpClient(call.world.user_loop, call.world.user_net, address, 0)
     return await client.request("POST", path, cbor2.dumps(body), 5.0, [("Authorization", f"Bearer {key}")])
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -266,7 +266,7 @@
         for label in cluster.plan["labels"]:
             cluster.crash(label)
             old.discard(label)
-            until(lambda: cluster.mend())
+            until(lambda: cluster.restart_ended())
             cluster._wait_ready()
         assert not old
         submit("first", "sleep 1")
@@ -345,7 +345,7 @@
     async def ask():
         user = world.users["req-000001"]
         for method, path in (("GET", ""), ("POST", "/cancel")):
-            answers.append((await user._ask(method, f"/v1/jobs/req-000777{path}", None, 2.0))[0])
+            answers.append((await user._request(method, f"/v1/jobs/req-000777{path}", None, 2.0))[0])
 
     world.sim.call_at(40.0, lambda: world.user_loop.spawn(ask(), "ask"))
     world.run()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,7 +16,7 @@
 from roadhead.jobs.ranges import Ranges, TaskPool
 from roadhead.settings import SettingsError, parse, parse_tuning
 from roadhead.wire import frames, messages
-from roadhead.wire.http import MAX_BODY, MAX_HEAD, HttpMessageError, Parser, request_bytes
+from roadhead.wire.http import MAX_BODY, MAX_HEAD, HttpMessageError, HttpParser, request_bytes
 
 fixed = settings(derandomize=True, database=None, max_examples=150, deadline=None)
 
@@ -60,7 +60,7 @@
 @fixed
 @given(st.binary(max_size=300), st.integers(1, 40))
 def test_random_http_input_is_refused_or_incomplete(data, step):
-    parser = Parser()
+    parser = HttpParser()
     try:
         for at in range(0, len(data), step):
             parser.feed(data[at : at + step])
@@ -73,7 +73,7 @@
 @given(st.binary(max_size=500), st.integers(1, 60))
 def test_http_requests_are_parsed_from_any_chunks(body, step):
     data = request_bytes("POST", "/v1/jobs", "h", body) * 2
-    parser = Parser()
+    parser = HttpParser()
     found = []
     for at in range(0, len(data), step):
         parser.feed(data[at : at + step])
@@ -97,7 +97,7 @@
     ],
 )
 def test_invalid_http_requests_are_refused(data, status):
-    parser = Parser()
+    parser = HttpParser()
     parser.feed(data)
     with pytest.raises(HttpMessageError) as caught:
         parser.next()
--- a/tests/test_write_path.py
+++ b/tests/test_write_path.py
@@ -7,10 +7,10 @@
 import pytest
 
 from roadhead.jobs.creation_guards import NO_GUARDS
-from roadhead.jobs.job import ARCHIVE, KEY, Job
+from roadhead.jobs.job import ARCHIVE, RECORD_PREFIX, Job
 from roadhead.jobs.ranges import Ranges
 from roadhead.jobs.recorder import Recorder
-from roadhead.jobs.transactions import LANES, RecordWrite, TransactionPacer
+from roadhead.jobs.transactions import MAX_TRANSACTIONS, RecordWrite, TransactionPacer
 from roadhead.jobs.write_queue import LATER, URGENT
 from roadhead.local.sim import Sim
 from roadhead.local.user import EmulatedUser
@@ -57,15 +57,15 @@
     pacer = TransactionPacer(sim, answers := ResponseTimeEstimator(3.0))
     answers.record_answer(0.01)
     began_at = []
-    outcomes = [Future() for _ in range(LANES + 2)]
+    outcomes = [Future() for _ in range(MAX_TRANSACTIONS + 2)]
 
     async def carry_out(number):
         began_at.append(sim.time)
         await outcomes[number]
 
     async def run():
-        for number in range(LANES + 2):
-            await pacer.turn()
+        for number in range(MAX_TRANSACTIONS + 2):
+            await pacer.wait_for_turn()
             pacer.begin(carry_out(number))
 
     sim.spawn(run(), "run")
@@ -74,8 +74,10 @@
     sim.run_until(10.0)
     assert began_at[1] == pytest.approx(0.05, abs=0.01)  # as soon as the first is answered
     assert began_at[2] - began_at[1] == pytest.approx(answers.late_s, abs=0.01)
-    assert began_at[LANES] - began_at[LANES - 1] == pytest.approx(answers.late_s, abs=0.01)
-    assert began_at[LANES + 1] == pytest.approx(5.0, abs=0.01)  # at most LANES are in flight
+    assert began_at[MAX_TRANSACTIONS] - began_at[MAX_TRANSACTIONS - 1] == pytest.approx(
+        answers.late_s, abs=0.01
+    )
+    assert began_at[MAX_TRANSACTIONS + 1] == pytest.approx(5.0, abs=0.01)  # at most LANES are in flight
 
 
 # All outcomes of the first transactions
@@ -132,7 +134,7 @@
     def stored(self, job):
         """Returns (record, stamp) of a job; an archived one has stamp 0, as it is no longer written."""
         record, _stamp = self.data.get(ARCHIVE + job.id, (None, 0))
-        return (record, 0) if record else self.data[KEY + job.id]
+        return (record, 0) if record else self.data[RECORD_PREFIX + job.id]
 
     async def get(self, key):
         await self._sim.sleep(0.002)
@@ -243,8 +245,8 @@
         self.began_at = self.sim.time
         await super().run()
 
-    def _hear(self, reply):
-        super()._hear(reply)
+    def _handle_reply(self, reply):
+        super()._handle_reply(reply)
         if reply.status in (200, 201) and self.accepted_after is None:
             self.accepted_after = self.sim.time - self.began_at
 
--- a/tests/write_faults.py
+++ b/tests/write_faults.py
@@ -14,7 +14,7 @@
 from term_history import TermHistory
 from write_kinds import KINDS, Write
 
-from roadhead.jobs.job import FINAL, KEY
+from roadhead.jobs.job import FINAL, RECORD_PREFIX
 from roadhead.local.world import World
 from roadhead.runtime.loop import Future
 from roadhead.runtime.net import Closed
@@ -211,7 +211,7 @@
             await self.user.poll(via)
             if number % 20 == 10 and self.user.accepted:
                 await self.user.submit_again()
-            if number % 20 == 15 and self.user.asked_to_cancel:
+            if number % 20 == 15 and self.user.has_requested_cancel:
                 await self.user.cancel(via)
             if loop.now() > end:
                 return
@@ -249,14 +249,14 @@
     for job, user in world.users.items():
         if numbers.get(getattr(user, "tenant", None)) in gone:
             continue
-        if not user.accepted and not user.gave_up and job not in world.refusals:
+        if not user.accepted and not user.has_given_up and job not in world.refusals:
             yield f"{job} was never answered"
         elif user.accepted and user.last_state not in FINAL:
             yield f"{job} is {user.last_state}"
-        elif user.gave_up:
+        elif user.has_given_up:
             yield f"the user of {job} gave up"
     for key, (record, *_rest) in world.state.data.items():
-        if key.startswith(KEY) and record["s"] == "open":
+        if key.startswith(RECORD_PREFIX) and record["s"] == "open":
             yield f"{key} is open"
     if world.running:
         yield f"{len(world.running)} tasks run on"
--- a/tests/write_kinds.py
+++ b/tests/write_kinds.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from roadhead.jobs.job import ARCHIVE, KEY
+from roadhead.jobs.job import ARCHIVE, RECORD_PREFIX
 from roadhead.membership.format_gate import GATE
 from roadhead.membership.member import CANCEL, MEMBER, TENANT, TERM
-from roadhead.pipelines.upstream_parts import PARTS
+from roadhead.pipelines.upstream_parts import PARTS_PREFIX
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
         """Returns (stored value, new value) of each record of an open job that is rewritten."""
         return [
             (old, new)
-            for key, new in self.puts_under(KEY)
+            for key, new in self.puts_under(RECORD_PREFIX)
             if new["s"] == "open" and (old := self.stored(key)) is not None and old["s"] == "open"
         ]
 
@@ -39,9 +39,10 @@
         """Returns the ids of open jobs that this write makes done, in their records or in the archive."""
         return {
             key[len(prefix) :]
-            for prefix in (KEY, ARCHIVE)
+            for prefix in (RECORD_PREFIX, ARCHIVE)
             for key, new in self.puts_under(prefix)
-            if new["s"] == "done" and (self.stored(KEY + key[len(prefix) :]) or {}).get("s") == "open"
+            if new["s"] == "done"
+            and (self.stored(RECORD_PREFIX + key[len(prefix) :]) or {}).get("s") == "open"
         }
 
     def changes_term(self, field):
@@ -56,7 +57,9 @@
 
 
 KINDS = {
-    "creation": lambda write: any(write.conditions.get(key) == 0 for key, _ in write.puts_under(KEY)),
+    "creation": lambda write: any(
+        write.conditions.get(key) == 0 for key, _ in write.puts_under(RECORD_PREFIX)
+    ),
     "end": lambda write: bool(write.completed_jobs()),
     "cancellation": lambda write: bool(write.puts_under(CANCEL)),
     "progress": lambda write: any(
@@ -77,10 +80,10 @@
     "entry": lambda write: bool(write.puts_under(MEMBER)) and TERM not in write.puts,
     "lease": lambda write: write.path == "/leases",
     "renewal": lambda write: write.path.endswith("/touch"),
-    "parts": lambda write: bool(write.puts_under(PARTS)),
-    "parts collected": lambda write: write.deletes_under(PARTS),
+    "parts": lambda write: bool(write.puts_under(PARTS_PREFIX)),
+    "parts collected": lambda write: write.deletes_under(PARTS_PREFIX),
     "tenant": lambda write: bool(write.puts_under(TENANT)),
     "tenant removed": lambda write: (
-        bool(write.deletes) and not write.puts and write.deletes_under((KEY, ARCHIVE))
+        bool(write.deletes) and not write.puts and write.deletes_under((RECORD_PREFIX, ARCHIVE))
     ),
 }
