--- a/tests/answer_order.py
+++ b/tests/answer_order.py
@@ -87,13 +87,13 @@
         state = reply.body.get("status") if reply.body else None
         controller = "" if via is None else self.world.fronts[via]
         question = RequestKind.POLL if method == "GET" else RequestKind.SUBMIT
-        self.world.heard(
+        self.world.record_answer(
             Answer(self.id, question, controller, reply.asked_at, self.sim.time, reply.status, state)
         )
         return reply
 
 
-class AskedWorld(World):
+class QueriedWorld(World):
     """Runs three jobs with one event each, and queries every controller about all of them around it.
 
     `event`: "accepted" (while the submission is repeated at every controller), "ended", "cancelled", "both"
@@ -108,8 +108,8 @@
         self.slow_reads = 0.0  # maximum delay of answers to all reads
         self.silent_watches = set()  # hosts whose watches are not answered
         self.silent_leases = set()  # hosts whose lease renewals are not answered
-        self.held = {}  # path -> delay of its next answer
-        self.moving = None  # a job that is archived as soon as either key of its record was read
+        self.delayed_answers = {}  # path -> delay of its next answer
+        self.job_to_archive = None  # a job that is archived as soon as either key of its record was read
         self._progress = {}
         self._event = event
         for number in CONTROLLERS:
@@ -120,7 +120,7 @@
                 self.sim.call_at(at, self._cancel, number + JOBS)
             self.sim.call_at(at - QUERY_BEFORE_S, self._ask_often, number)
             if event in ("ended", "both"):
-                self.sim.call_at(at, self._end, number)
+                self.sim.call_at(at, self.end_job, number)
             if event in ("cancelled", "both"):
                 delay_s = CANCELLED_AFTER_S[number] if event == "both" else 0.0
                 self.sim.call_at(at + delay_s, self._cancel, number)
@@ -132,9 +132,12 @@
             if path.startswith("/leases/") and host in self.silent_leases:
                 await Future()
             answer = await real(method, path, args, body, host)
-            if path in self.held:
-                await self.state.loop.sleep(self.held.pop(path))
-            if self.moving is not None and path in (f"/store/j/{self.moving}", f"/store/f/{self.moving}"):
+            if path in self.delayed_answers:
+                await self.state.loop.sleep(self.delayed_answers.pop(path))
+            if self.job_to_archive is not None and path in (
+                f"/store/j/{self.job_to_archive}",
+                f"/store/f/{self.job_to_archive}",
+            ):
                 self._move()
             if path == "/multi" and body["writes"] and self.slow_answers.get(host):
                 await self.state.loop.sleep(self.slow_answers[host])
@@ -151,7 +154,7 @@
         return f"req-{number + 1:06d}"
 
     def _move(self):
-        name, self.moving = self.moving, None
+        name, self.job_to_archive = self.job_to_archive, None
         record = self.state.data[f"j/{name}"][0]
         self.state.multi({"if": [], "writes": [{"put": f"f/{name}", "data": record}, {"drop": f"j/{name}"}]})
 
@@ -163,7 +166,7 @@
         user = self.users[job["id"]] = RecordingUser(self, job, number % 3)
         self.user_loop.spawn(user.run(), job["id"])
 
-    def _end(self, number):
+    def end_job(self, number):
         for worker in self.cloud.rented.values():
             for item in list(worker.tasks.values()):
                 if item.task.startswith(self.job_id(number)) and item.status == "running":
@@ -173,7 +176,7 @@
         """Cancels a job through a controller that is not its owner."""
         self.user_loop.spawn(self.users[self.job_id(number)].cancel((number + 1) % 3), "cancel")
 
-    def ghosts(self):
+    def stale_open_jobs(self):
         """Returns (controller, job) of jobs that a controller holds open though their records are final."""
         ended = {key[2:] for key, (value, *_) in self.state.data.items() if value_is_final(key, value)}
         return [
@@ -198,7 +201,7 @@
             for via in CONTROLLERS:
                 self.sim.call_later(step * QUERY_INTERVAL_S, self.ask, self.job_id(number), via)
 
-    def heard(self, answer):
+    def record_answer(self, answer):
         is_upstream = int(answer.job_id[-1]) > JOBS
         if is_upstream and answer.state == "cancelled":  # the job downstream of it is cancelled with it
             answer = replace(answer, job_id=self.job_id(int(answer.job_id[-1]) - 1 - JOBS), controller="")
--- a/tests/drawn_days.py
+++ b/tests/drawn_days.py
@@ -6,7 +6,7 @@
 TENANTS = ("north", "south", "east")
 
 
-def drawn(seed):
+def random_hosted_day(seed):
     """Returns a scenario of a hosted service with three tenants."""
     rng = random.Random(seed)
     lines = [
@@ -68,7 +68,7 @@
     return "\n".join([*lines, "expect accepted_done north", "expect accepted_done south"])
 
 
-def drawn_pipelines(seed):
+def random_pipeline_day(seed):
     """Returns a scenario of jobs with upstream jobs, during which the state service lowers its limits."""
     rng = random.Random(seed)
     lines = [
@@ -209,7 +209,7 @@
     ]
 
 
-def drawn_meetings(seed):
+def random_combination_day(seed):
     """Returns a scenario of overlapping faults with cancellations and upstream jobs throughout.
 
     Tasks are short, or several times `cancel_s` long.
@@ -253,7 +253,7 @@
 RECOVERY_S = 40  # the first jobs have ended: machines are free and not yet returned
 
 
-def drawn_report_orders(seed):
+def random_report_order_day(seed):
     """Returns a scenario in which reports and answers to direct commands arrive in any order.
 
     Work starts meanwhile; then machines hang or are cut off while controllers end and return.
--- a/tests/hunt.py
+++ b/tests/hunt.py
@@ -19,7 +19,7 @@
 import multiprocessing
 
 import conftest  # noqa: F401  sets up sys.path
-from drawn_days import drawn, drawn_meetings, drawn_pipelines, drawn_report_orders
+from drawn_days import random_combination_day, random_hosted_day, random_pipeline_day, random_report_order_day
 from enumerated import (
     first_combinations,
     leader_cuts,
@@ -34,21 +34,21 @@
 __all__ = ("first_combinations", "leader_cuts", "run_first_combination", "run_leader_cut")
 
 
-def played(seed):
+def run_hosted_day(seed):
     """Plays a day of a hosted service. Returns (seed, faults)."""
-    world = World(drawn(seed)).run()
+    world = World(random_hosted_day(seed)).run()
     return seed, world.check()
 
 
-def played_meetings(seed):
-    return played_pipelines(seed, drawn_meetings)
+def run_combination_day(seed):
+    return run_pipeline_day(seed, random_combination_day)
 
 
-def played_report_orders(seed):
-    return played_pipelines(seed, drawn_report_orders)
+def run_report_order_day(seed):
+    return run_pipeline_day(seed, random_report_order_day)
 
 
-def played_pipelines(seed, draw=drawn_pipelines):
+def run_pipeline_day(seed, draw=random_pipeline_day):
     """Plays a day of pipelines, or of `draw`. Returns (seed, faults).
 
     Every accepted job must end, and a job with a cancelled upstream job must not be done.
@@ -86,13 +86,13 @@
     if args.leader:
         table_of_leaders(args.jobs)
         return
-    draw, play = drawn, played
+    draw, play = random_hosted_day, run_hosted_day
     if args.meetings:
-        draw, play = drawn_meetings, played_meetings
+        draw, play = random_combination_day, run_combination_day
     elif args.pipelines:
-        draw, play = drawn_pipelines, played_pipelines
+        draw, play = random_pipeline_day, run_pipeline_day
     elif args.report_orders:
-        draw, play = drawn_report_orders, played_report_orders
+        draw, play = random_report_order_day, run_report_order_day
     if args.show is not None:
         print(draw(args.show))
         return
--- a/tests/limit_failovers.py
+++ b/tests/limit_failovers.py
@@ -30,7 +30,7 @@
     "hung very long": [f"hang {number} {CANCEL_S + 8}" for number in range(6)],
 }
 CANCELLED_AFTER_S = {"before": -2, "during": 3, "after": 9}  # the cancellation, relative to LEADER_END_AT
-COURSES = {  # (seconds after LEADER_END_AT, scenario line); `leader`: the quota leader at that time
+FAULT_SEQUENCES = {  # (seconds after LEADER_END_AT, scenario line); `leader`: the quota leader at that time
     "back at once": [(0, "crash leader 0.1")],
     "back soon": [(0, "crash leader 3")],
     "away for good": [(0, "crash leader 900")],
@@ -115,7 +115,7 @@
     cancel_at = LEADER_END_AT + CANCELLED_AFTER_S[cancelled]
     lines = [f"seed {seed}", "boot_s 1", f"until {SCENARIO_END_S}"]
     lines += [f"at {at} submit {own} legs=4 runS=12" for at in (20, 33, 36, 39, 45, 51, 60) for own in owners]
-    lines += [f"at {LEADER_END_AT + after} {what}" for after, what in COURSES[course]]
+    lines += [f"at {LEADER_END_AT + after} {what}" for after, what in FAULT_SEQUENCES[course]]
     lines += [f"at {cancel_at - 0.1} {what}" for what in MACHINES[machines]]
     via = seed % 4  # 0: any controller that is up, else a given one
     lines.append(f"at {cancel_at} cancel {','.join(names)}" + (f" {via - 1}" if via else ""))
@@ -125,21 +125,21 @@
 
 def combinations():
     """Yields ((teams, machines, cancelled, course), scenario text)."""
-    cases = itertools.product((1, 2, 3), MACHINES, CANCELLED_AFTER_S, COURSES)
+    cases = itertools.product((1, 2, 3), MACHINES, CANCELLED_AFTER_S, FAULT_SEQUENCES)
     for seed, which in enumerate(cases, 1):
         yield which, text_of(seed, *which)
 
 
 def hosted_combinations():
     """Yields ((quota partitions, machines, cancelled, course), scenario text) with tenants."""
-    cases = itertools.product((1, 3, 6), MACHINES, CANCELLED_AFTER_S, COURSES)
+    cases = itertools.product((1, 3, 6), MACHINES, CANCELLED_AFTER_S, FAULT_SEQUENCES)
     for seed, which in enumerate(cases, 1):
         yield which, hosted_text_of(seed, *which)
 
 
 def partitioned_combinations():
     """Yields ((quota partitions, machines, cancelled, course), scenario text) with the settings' teams."""
-    cases = itertools.product((2, 6), MACHINES, CANCELLED_AFTER_S, COURSES)
+    cases = itertools.product((2, 6), MACHINES, CANCELLED_AFTER_S, FAULT_SEQUENCES)
     for seed, which in enumerate(cases, 1):
         partitions, *rest = which
         yield which, f"partitions {partitions}\n{text_of(seed, 3, *rest)}"
--- a/tests/mutation.py
+++ b/tests/mutation.py
@@ -17,7 +17,7 @@
     return (SCENARIOS / f"{scenario}.txt").read_text()
 
 
-def assert_noticed(mutate, scenario):
+def assert_detected(mutate, scenario):
     """Asserts that a scenario breaks a rule with the mutation and, with the same seed, none without it.
 
     `mutate(patch)` removes a guard with pytest's `MonkeyPatch`; its docstring says what is then missing.
@@ -30,4 +30,4 @@
         if noticed:
             assert World(f"{text}\nseed {seed}\n").run().violations == []
             return
-    raise AssertionError(f"not noticed: {mutate.__doc__}")
+    raise AssertionError(f"not detected: {mutate.__doc__}")
--- a/tests/test_cancel_and_move.py
+++ b/tests/test_cancel_and_move.py
@@ -60,7 +60,7 @@
     ],
 )
 def test_a_removed_guard_is_detected(mutate, scenario):
-    mutation.assert_noticed(mutate, scenario)
+    mutation.assert_detected(mutate, scenario)
 
 
 RELIEF_SCENARIO = """
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from test_wire import PLATFORM
+from test_wire import SETTINGS_DOCUMENT
 
 from roadhead import cli
 from roadhead.local.world import World
@@ -90,10 +90,10 @@
 
 def test_check_reports_each_fault_on_a_line(tmp_path, capsys):
     good = tmp_path / "good.json"
-    good.write_text(json.dumps(PLATFORM))
+    good.write_text(json.dumps(SETTINGS_DOCUMENT))
     assert cli.main(["check", "--config", str(good)]) == 0
     bad = tmp_path / "bad.json"
-    bad.write_text(json.dumps({**PLATFORM, "front": "here", "label": "b"}))
+    bad.write_text(json.dumps({**SETTINGS_DOCUMENT, "front": "here", "label": "b"}))
     tuning = tmp_path / "tuning.toml"
     tuning.write_text("[fleet]\ncolour = 1")
     assert cli.main(["check", "--config", str(bad), "--tuning", str(tuning)]) == 2
@@ -170,7 +170,7 @@
 
 def test_the_shipped_hosted_file_is_valid(tmp_path, capsys):
     assert hosted_settings.parse((ROOT / "deploy" / "hosted.toml").read_bytes()).slots == 24
-    (tmp_path / "settings.json").write_text(json.dumps(PLATFORM))
+    (tmp_path / "settings.json").write_text(json.dumps(SETTINGS_DOCUMENT))
     hosted = tmp_path / "hosted.toml"
     hosted.write_bytes((ROOT / "deploy" / "hosted.toml").read_bytes())
     check = ["check", "--config", str(tmp_path / "settings.json"), "--hosted", str(hosted)]
@@ -186,6 +186,6 @@
 def test_an_unknown_log_level_is_reported_and_nothing_starts(monkeypatch, capsys, tmp_path):
     monkeypatch.setenv("LOG_LEVEL", "loud")
     path = tmp_path / "settings.json"
-    path.write_text(json.dumps(PLATFORM))
+    path.write_text(json.dumps(SETTINGS_DOCUMENT))
     assert cli.main(["--config", str(path)]) == 2
     assert capsys.readouterr().err == "roadhead: LOG_LEVEL: 'loud' is none of error, info, debug\n"
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -73,7 +73,7 @@
     workers, cloud = Workers(), Cloud()
 
 
-def calls(fn, *args):
+def count_calls(fn, *args):
     """Returns how many Python and C functions are called while `fn` runs.
 
     The garbage collector is off meanwhile: Hypothesis registers a callback on it, whose calls would count.
@@ -94,7 +94,7 @@
     return count
 
 
-def report(number, tasks=(), sequence=1):
+def make_report(number, tasks=(), sequence=1):
     return messages.Report(
         f"n-{number:06d}",
         "10.1.0.1:9000",
@@ -108,7 +108,7 @@
     )
 
 
-def home_of(machines, tasks):
+def make_shard_leader(machines, tasks):
     """A shard leader with `machines` machines, each with `tasks` running tasks of one CPU."""
     counters = Counters()
     home = ShardLeader(
@@ -129,7 +129,7 @@
     home.capacity_granter.window_s = 12.0
     for number in range(machines):
         machine = home.registry.register(f"n-{number:06d}", "10.1.0.1:9000", "box", "a", True, 0.0)
-        home.report_processor.answer(report(number, tasks))
+        home.report_processor.answer(make_report(number, tasks))
         for task in list(machine.tasks.values()):
             machine.set_requirements(task, REQUIREMENTS)
     return home
@@ -149,29 +149,29 @@
 @pytest.mark.parametrize("tasks", [4, 0])
 def test_a_demand_costs_at_most_in_proportion_to_machines(tasks):
     """Full machines are only checked; free ones are granted until the demand is met."""
-    small = calls(home_of(100, tasks).capacity_granter.on_demand, "there", demand(5))
-    large = calls(home_of(400, tasks).capacity_granter.on_demand, "there", demand(5))
+    small = count_calls(make_shard_leader(100, tasks).capacity_granter.on_demand, "there", demand(5))
+    large = count_calls(make_shard_leader(400, tasks).capacity_granter.on_demand, "there", demand(5))
     assert small > 0
     assert large <= 4.6 * small
 
 
 def test_a_demand_met_by_few_machines_grants_no_more():
     one = frames.Demand(0, [(2, 1.0, 0.0, 3.0, 4, True, "", [], 10.0, "c", 50.0, True, 1.0)], [])
-    home = home_of(200, 0)
+    home = make_shard_leader(200, 0)
     home.capacity_granter.on_demand("there", one)
     assert sum(machine.grant_holder is not None for machine in home.machines.values()) == 1
 
 
 def test_a_report_with_nothing_new_costs_the_same_for_any_number_of_tasks():
-    few, many = home_of(1, 4), home_of(1, 64)
-    first = calls(few.report_processor.answer, report(0, 4, sequence=2))
-    second = calls(many.report_processor.answer, report(0, 64, sequence=2))
+    few, many = make_shard_leader(1, 4), make_shard_leader(1, 64)
+    first = count_calls(few.report_processor.answer, make_report(0, 4, sequence=2))
+    second = count_calls(many.report_processor.answer, make_report(0, 64, sequence=2))
     assert 0 < second <= first + 2
 
 
 def test_a_report_costs_the_same_in_any_fleet():
-    first = calls(home_of(10, 4).report_processor.answer, report(0, 3, sequence=2))
-    second = calls(home_of(400, 4).report_processor.answer, report(0, 3, sequence=2))
+    first = count_calls(make_shard_leader(10, 4).report_processor.answer, make_report(0, 3, sequence=2))
+    second = count_calls(make_shard_leader(400, 4).report_processor.answer, make_report(0, 3, sequence=2))
     assert 0 < second <= first + 2
 
 
@@ -184,12 +184,12 @@
 
 def costs(machines):
     """Calls made for a report, a machine list, a heartbeat and a reconciliation check at that fleet size."""
-    home = home_of(machines, 0)
+    home = make_shard_leader(machines, 0)
     return (
-        calls(home.report_processor.answer, report(0, 0, sequence=2)),
-        calls(home.apply_machine_list, listed(machines), 100.0),
-        calls(home.tick, 0.0) + calls(home.machine_counts),
-        calls(home.reconciliation.is_reconciled),
+        count_calls(home.report_processor.answer, make_report(0, 0, sequence=2)),
+        count_calls(home.apply_machine_list, listed(machines), 100.0),
+        count_calls(home.tick, 0.0) + count_calls(home.machine_counts),
+        count_calls(home.reconciliation.is_reconciled),
     )
 
 
@@ -209,19 +209,26 @@
     frame = frames.ReconcileRequest(
         1, 1, jobs, [(f"n-{number:06d}", f"req-{number}", 0, 1) for number in range(20)]
     )
-    few, many = home_of(100, 4), home_of(400, 4)
+    few, many = make_shard_leader(100, 4), make_shard_leader(400, 4)
     assert (
         0
-        < calls(many.task_commands.on_sync, "there", 1, frame)
-        <= (calls(few.task_commands.on_sync, "there", 1, frame) + 2)
+        < count_calls(many.task_commands.on_sync, "there", 1, frame)
+        <= (count_calls(few.task_commands.on_sync, "there", 1, frame) + 2)
     )
-    few, many = home_of(100, 4), home_of(400, 4)
+    few, many = make_shard_leader(100, 4), make_shard_leader(400, 4)
     assert (
         0
-        < calls(partial(many.task_commands.set_job_requirements, over=False), "req-7", REQUIREMENTS)
-        <= (calls(partial(few.task_commands.set_job_requirements, over=False), "req-7", REQUIREMENTS) + 2)
+        < count_calls(partial(many.task_commands.set_job_requirements, over=False), "req-7", REQUIREMENTS)
+        <= (
+            count_calls(partial(few.task_commands.set_job_requirements, over=False), "req-7", REQUIREMENTS)
+            + 2
+        )
+    )
+    assert (
+        0
+        < count_calls(many.task_commands.cancel, ["req-7"])
+        <= count_calls(few.task_commands.cancel, ["req-7"]) + 2
     )
-    assert 0 < calls(many.task_commands.cancel, ["req-7"]) <= calls(few.task_commands.cancel, ["req-7"]) + 2
 
 
 def test_reports_after_a_term_change_cost_in_proportion_while_requests_wait():
@@ -229,15 +236,15 @@
     check after each report must not iterate over all machines."""
 
     def hear_all(machines):
-        home = home_of(machines, 0)
+        home = make_shard_leader(machines, 0)
         for machine in home.machines.values():
             machine.confirmed_token = 0
         home.reconciliation.fence_shards([0], True)
         home.apply_machine_list(listed(machines), 7.0)  # a recent list of machines that were up before
         home.task_commands.on_sync("there", 1, frames.ReconcileRequest(1, 1, [], []))
         assert not home.reconciliation.is_reconciled()
-        reports = [report(number, 0, sequence=2) for number in range(machines)]
-        total = calls(lambda: [home.report_processor.answer(message) for message in reports])
+        reports = [make_report(number, 0, sequence=2) for number in range(machines)]
+        total = count_calls(lambda: [home.report_processor.answer(message) for message in reports])
         assert home.reconciliation.is_reconciled()
         return total
 
@@ -420,16 +427,17 @@
     spec = few.spec(900_000)
     assert (
         0
-        < calls(many.tenant_admission.refusal, spec, 10)
-        <= calls(few.tenant_admission.refusal, spec, 10) + 2
+        < count_calls(many.tenant_admission.refusal, spec, 10)
+        <= count_calls(few.tenant_admission.refusal, spec, 10) + 2
     )
     assert (
         0
-        < calls(many.fair_share.assign_positions, many.jobs)
-        <= 1.05 * calls(few.fair_share.assign_positions, few.jobs)
+        < count_calls(many.fair_share.assign_positions, many.jobs)
+        <= 1.05 * count_calls(few.fair_share.assign_positions, few.jobs)
     )
     assert (
-        calls(many.job_store.quota.headroom, "1/team3") <= calls(few.job_store.quota.headroom, "1/team3") + 2
+        count_calls(many.job_store.quota.headroom, "1/team3")
+        <= count_calls(few.job_store.quota.headroom, "1/team3") + 2
     )
     record = records.Tenant(7, "tenant-7", version=2, teams=[records.Team("team1")]).to_record()
     few.dispatcher = many.dispatcher = Ignored()
@@ -438,14 +446,14 @@
     change = (records.tenant_key(7), record, 10**6)
     # The persistent map is a tree, so only the depth of its paths may grow.
     assert (
-        calls(many.tenant_admission.table.take, *change)
-        <= calls(few.tenant_admission.table.take, *change) + 8
+        count_calls(many.tenant_admission.table.take, *change)
+        <= count_calls(few.tenant_admission.table.take, *change) + 8
     )
 
 
 def test_ordering_costs_the_same_however_many_jobs_wait():
     def order_cost(node):
-        return calls(lambda: node.fair_share.assign_positions(list(node.fair_share.candidates())))
+        return count_calls(lambda: node.fair_share.assign_positions(list(node.fair_share.candidates())))
 
     few, many = HostedNode(10, 3000), HostedNode(10, 12_000)
     assert 0 < order_cost(many) <= 1.05 * order_cost(few)
@@ -454,8 +462,8 @@
     few.tenant_admission.refusal(spec, 10), many.tenant_admission.refusal(spec, 10)
     assert (
         0
-        < calls(many.tenant_admission.refusal, spec, 10)
-        <= calls(few.tenant_admission.refusal, spec, 10) + 2
+        < count_calls(many.tenant_admission.refusal, spec, 10)
+        <= count_calls(few.tenant_admission.refusal, spec, 10) + 2
     )
 
 
@@ -522,9 +530,9 @@
 
 
 def test_a_placement_pass_costs_in_proportion_to_jobs_plus_grants():
-    plain = calls(make_dispatcher(50, 20)._run_placement)
-    jobs = calls(make_dispatcher(200, 20)._run_placement)
-    both = calls(make_dispatcher(200, 80)._run_placement)
+    plain = count_calls(make_dispatcher(50, 20)._run_placement)
+    jobs = count_calls(make_dispatcher(200, 20)._run_placement)
+    both = count_calls(make_dispatcher(200, 80)._run_placement)
     assert jobs <= 4.6 * plain
     assert both <= 4.6 * plain
 
@@ -534,6 +542,6 @@
         dispatcher = make_dispatcher(jobs, 1)
         dispatcher._run_placement()
         dispatcher.on_grant(frames.Grant("n-000777", 2, 0, "box", "a", "here", True, 1.0, 0.0, 4.0, [], 10.0))
-        return calls(dispatcher._run_placement)
+        return count_calls(dispatcher._run_placement)
 
     assert 0 < cost_of_one_more(500) <= cost_of_one_more(50) + 20
--- a/tests/test_limits_and_failover.py
+++ b/tests/test_limits_and_failover.py
@@ -3,8 +3,14 @@
 from types import SimpleNamespace
 
 import pytest
-from limit_failovers import COURSES, combinations, hosted_combinations, partitioned_combinations, run_case
-from mutation import assert_noticed
+from limit_failovers import (
+    FAULT_SEQUENCES,
+    combinations,
+    hosted_combinations,
+    partitioned_combinations,
+    run_case,
+)
+from mutation import assert_detected
 
 from roadhead.jobs.job import NO_OWNER, RECORD_PREFIX
 from roadhead.jobs.job_store import JobStore
@@ -77,14 +83,14 @@
     ],
 )
 def test_a_removed_guard_is_detected(mutate, scenario):
-    assert_noticed(mutate, scenario)
+    assert_detected(mutate, scenario)
 
 
 # A sample at a fixed stride; `limit_failovers.py` plays all cases.
 SAMPLE = [
-    *list(combinations())[:: len(COURSES) * 4 + 1],
-    *list(hosted_combinations())[:: len(COURSES) * 8 + 1],
-    *list(partitioned_combinations())[:: len(COURSES) * 4 + 1],
+    *list(combinations())[:: len(FAULT_SEQUENCES) * 4 + 1],
+    *list(hosted_combinations())[:: len(FAULT_SEQUENCES) * 8 + 1],
+    *list(partitioned_combinations())[:: len(FAULT_SEQUENCES) * 4 + 1],
 ]
 
 
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -50,7 +50,7 @@
 def test_a_write_whose_answer_is_lost_or_that_comes_late(kind):
     outcomes = {fault: play(fault) for fault in sampled_faults(kind)}
     assert {str(fault): outcome.faults for fault, outcome in outcomes.items() if outcome.faults} == {}
-    assert sum(bool(outcome.struck) for outcome in outcomes.values()) >= len(outcomes) // 2
+    assert sum(bool(outcome.writes_hit) for outcome in outcomes.values()) >= len(outcomes) // 2
 
 
 # Mutations of the state service: it ignores conditions of the transactions that writers send.
@@ -182,7 +182,7 @@
 
 
 def test_counting_a_failed_renewal_as_made_is_detected():
-    mutation.assert_noticed(ignore_failed_lease_renewals, "meeting-boots-at-the-cut")
+    mutation.assert_detected(ignore_failed_lease_renewals, "meeting-boots-at-the-cut")
 
 
 def archive_in_two_transactions(patch):
@@ -328,7 +328,7 @@
 
 
 def test_deleting_a_cancellation_mark_early_is_detected():
-    mutation.assert_noticed(delete_cancellation_mark_early, "late-transaction-mark")
+    mutation.assert_detected(delete_cancellation_mark_early, "late-transaction-mark")
 
 
 def ignore_record_stamps(patch):
@@ -370,4 +370,4 @@
     ],
 )
 def test_a_removed_guard_is_detected_by_a_scenario(mutate, scenario):
-    mutation.assert_noticed(mutate, scenario)
+    mutation.assert_detected(mutate, scenario)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("seed", range(2000, 2006))
 def test_random_fault_combinations(seed):
-    assert World(hunt.drawn_meetings(seed)).run().violations == []
+    assert World(hunt.random_combination_day(seed)).run().violations == []
 
 
 def test_contact_with_peers_counts_only_while_it_is_unbroken():
--- a/tests/test_odd_requests.py
+++ b/tests/test_odd_requests.py
@@ -32,7 +32,7 @@
     return {name: value for name, value in {"id": NEW_JOB_ID, **job, **fields}.items() if value is not ...}
 
 
-def body(**fields):
+def encode_submission(**fields):
     return cbor2.dumps(described(**fields))
 
 
@@ -52,30 +52,33 @@
     "empty": b"",
     "not CBOR": b"\xff\xff",
     "JSON": b'{"id":"req-900001"}',
-    "cut off": body()[:-3],
+    "cut off": encode_submission()[:-3],
     "a list": cbor2.dumps([described()]),
-    "tagged": b"\xd9\xd9\xf7" + body(),
-    "bytes behind": body() + b"\x00",
+    "tagged": b"\xd9\xd9\xf7" + encode_submission(),
+    "bytes behind": encode_submission() + b"\x00",
     "doubled": body_with_two_ids(indefinite=False),
     "doubled, endless": body_with_two_ids(indefinite=True),
     "nested deeply": b"\x81" * 60000 + b"\x00",
     "a list that is not there": b"\x9b" + b"\xff" * 8,
-    **{f"no {name}": body(**{name: ...}) for name in REQUIRED},
-    **{f"{name} null": body(**{name: None}) for name in REQUIRED},
-    **{f"{name} a text": body(**{name: "1"}) for name in (*NUMBERS, *FLAGS, "legs", "dueS")},
-    **{f"{name} a number": body(**{name: 1}) for name in (*TEXTS, *FLAGS, "kit", "rigs", "paddock")},
+    **{f"no {name}": encode_submission(**{name: ...}) for name in REQUIRED},
+    **{f"{name} null": encode_submission(**{name: None}) for name in REQUIRED},
+    **{f"{name} a text": encode_submission(**{name: "1"}) for name in (*NUMBERS, *FLAGS, "legs", "dueS")},
     **{
-        f"{name} {str(amount)[:9]}": body(**{name: amount})
+        f"{name} a number": encode_submission(**{name: 1})
+        for name in (*TEXTS, *FLAGS, "kit", "rigs", "paddock")
+    },
+    **{
+        f"{name} {str(amount)[:9]}": encode_submission(**{name: amount})
         for name in (*NUMBERS, "dueS")
         for amount in (-1.0, math.nan, math.inf, 2.0**63, 10**400, True)
     },
-    **{f"legs {count}": body(legs=count) for count in (0, -1, 100_001, 2**70, 4.5, True)},
-    **{f"id {name!r}": body(id=name) for name in BAD_IDS},
+    **{f"legs {count}": encode_submission(legs=count) for count in (0, -1, 100_001, 2**70, 4.5, True)},
+    **{f"id {name!r}": encode_submission(id=name) for name in BAD_IDS},
     "a key that is no text": cbor2.dumps({**described(), 7: None}),
-    "urgency unknown": body(urgency="soon"),
-    "shape unknown": body(shape=""),
-    "rigs of numbers": body(rigs=[1]),
-    "crew too long": body(crew="x" * 201),
+    "urgency unknown": encode_submission(urgency="soon"),
+    "shape unknown": encode_submission(shape=""),
+    "rigs of numbers": encode_submission(rigs=[1]),
+    "crew too long": encode_submission(crew="x" * 201),
 }
 IMPOSSIBLE = {
     "too many CPUs": {"vcpus": 64.0},
@@ -93,7 +96,7 @@
 }
 
 
-class Asked:
+class ControllerClient:
     """A simulated deployment at 15 s, and requests to each of its controllers."""
 
     def __init__(self, text):
@@ -130,7 +133,7 @@
 
 @pytest.fixture(scope="module", params=FAULTS)
 def fault_and_asked(request):
-    return request.param, Asked(FAULTS[request.param])
+    return request.param, ControllerClient(FAULTS[request.param])
 
 
 @pytest.mark.parametrize("name", MALFORMED)
@@ -147,7 +150,7 @@
     """A controller that cannot read whether the job was accepted earlier must answer 503 in place of 422."""
     fault, asked = fault_and_asked
     for number in sorted(asked.world.nodes):
-        status, _, headers = asked.ask(number, "POST", "/v1/jobs", body(**IMPOSSIBLE[name]))
+        status, _, headers = asked.ask(number, "POST", "/v1/jobs", encode_submission(**IMPOSSIBLE[name]))
         cannot_read = fault == "outage" or (fault.startswith("cut") and number == 0)
         assert status == (503 if cannot_read else 422)
         assert ("retry-after" in headers) == cannot_read
@@ -161,7 +164,7 @@
 
 @pytest.mark.parametrize("path", ["req-1x", "", "req-", "%00", "req-1%2F", NEW_JOB_ID])
 def test_a_job_that_was_never_submitted_is_not_found(path):
-    asked = Asked("")
+    asked = ControllerClient("")
     assert {status for status, *_ in asked.ask_all("GET", f"/v1/jobs/{path}")} == {404}
     assert {status for status, *_ in asked.ask_all("POST", f"/v1/jobs/{path}/cancel")} == {404}
     assert asked.stored(path) == []
@@ -171,9 +174,9 @@
     "fields", [{}, {"legs": 7}, {"vcpus": 64.0}, {"crew": "nobody"}, {"rigs": []}, {"upstream": ["req-77"]}]
 )
 def test_a_resubmission_never_changes_an_accepted_job(fields):
-    asked = Asked("")
+    asked = ControllerClient("")
     before = asked.world.state.data["j/req-000001"][0]["spec"]
-    answers = asked.ask_all("POST", "/v1/jobs", body(id="req-000001", **fields))
+    answers = asked.ask_all("POST", "/v1/jobs", encode_submission(id="req-000001", **fields))
     assert {status for status, *_ in answers} == {200}
     # Only the job's owner knows which of the two it is.
     assert {answer["status"] for _, answer, _ in answers} <= {"pending", "running"}
@@ -181,20 +184,20 @@
 
 
 def test_an_ended_job_keeps_its_state():
-    asked = Asked("at 2 submit legs=1 runS=1\nat 9 cancel 2\nuntil 45")
+    asked = ControllerClient("at 2 submit legs=1 runS=1\nat 9 cancel 2\nuntil 45")
     for job, state in (("req-000004", "done"), ("req-000002", "cancelled")):
         for method, path, data in (
             ("GET", f"/v1/jobs/{job}", b""),
             ("POST", f"/v1/jobs/{job}/cancel", b""),
-            ("POST", "/v1/jobs", body(id=job)),
-            ("POST", "/v1/jobs", body(id=job, vcpus=64.0)),
+            ("POST", "/v1/jobs", encode_submission(id=job)),
+            ("POST", "/v1/jobs", encode_submission(id=job, vcpus=64.0)),
         ):
             answers = asked.ask_all(method, path, data)
             assert {(status, answer["status"]) for status, answer, _ in answers} == {(200, state)}
 
 
 def test_unknown_fields_are_ignored_and_null_means_left_out():
-    asked = Asked("")
+    asked = ControllerClient("")
     for number, fields in enumerate(
         (
             {"color": "red", "nested": {"id": "req-5"}, "": [1]},
@@ -203,7 +206,7 @@
         )
     ):
         job = f"req-90001{number}"
-        status, answer, _ = asked.ask(number, "POST", "/v1/jobs", body(**{"id": job, **fields}))
+        status, answer, _ = asked.ask(number, "POST", "/v1/jobs", encode_submission(**{"id": job, **fields}))
         assert (status, answer["status"]) == (201, "pending")
         assert asked.stored(job) and "color" not in asked.world.state.data[f"j/{job}"][0]["spec"]
 
@@ -232,7 +235,7 @@
 )
 def test_any_field_value_is_accepted_or_invalid(fields):
     try:
-        spec = parse(body(**fields))
+        spec = parse(encode_submission(**fields))
     except messages.InvalidMessageError:
         return
     assert messages.JOB_ID.match(spec.id) and 1 <= spec.tasks <= messages.MAX_TASKS
@@ -241,7 +244,7 @@
 @fixed
 @given(st.binary(max_size=40), st.integers(0, 400), st.integers(0, 8))
 def test_any_bytes_are_accepted_or_invalid(junk, at, removed):
-    whole = body()
+    whole = encode_submission()
     try:
         parse(whole[:at] + junk + whole[at + removed :])
     except messages.InvalidMessageError:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -7,8 +7,8 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_cost import HostedNode, calls
-from test_upgrade import Rolled, pipelines
+from test_cost import HostedNode, count_calls
+from test_upgrade import UpgradeWorld, pipelines
 
 from roadhead.jobs.job import Job
 from roadhead.jobs.job_store import JobStore
@@ -172,14 +172,16 @@
         assert (
             len(node.job_store.jobs) == 10 and len(node.job_store.dependency_queue.dependencies.jobs) >= 1000
         )
-    assert calls(many.job_store.reconciliation.ask_all, []) == calls(few.job_store.reconciliation.ask_all, [])
+    assert count_calls(many.job_store.reconciliation.ask_all, []) == count_calls(
+        few.job_store.reconciliation.ask_all, []
+    )
     assert len(list(many.fair_share.candidates())) == len(list(few.fair_share.candidates())) == 10
     # A heartbeat repeats the inherited priorities of a bounded number of jobs.
     many.member.format_gate.record = {"format": many.member.format_gate.knows, "seen": {}}
     assert (
         0
-        < calls(many.job_store.dependency_queue.refresh_priorities)
-        <= 2.5 * calls(few.job_store.dependency_queue.refresh_priorities)
+        < count_calls(many.job_store.dependency_queue.refresh_priorities)
+        <= 2.5 * count_calls(few.job_store.dependency_queue.refresh_priorities)
     )
 
 
@@ -187,7 +189,8 @@
     many = make_node_with_waiting(20000)
     few = make_node_with_waiting(2000)
     cost = [
-        calls(node.job_store.remember_final, "req-7", {"s": "done", "n": 1, "d": 1}) for node in (few, many)
+        count_calls(node.job_store.remember_final, "req-7", {"s": "done", "n": 1, "d": 1})
+        for node in (few, many)
     ]
     assert (
         len(many.job_store.jobs) == 2010 and len(many.job_store.dependency_queue.dependencies.jobs) == 18000
@@ -442,7 +445,7 @@
     text = world if "\n" in world else (SCENARIOS / f"{world}.txt").read_text()
 
     def faults(seed):
-        ended_world = (Rolled if rolled else World)(f"{text}\nseed {seed}\n").run()
+        ended_world = (UpgradeWorld if rolled else World)(f"{text}\nseed {seed}\n").run()
         unmet = [] if rolled else ended_world.check()
         return ended_world.violations + unmet + ["too large"] * bool(ended_world.state.oversized)
 
--- a/tests/test_read_order.py
+++ b/tests/test_read_order.py
@@ -4,7 +4,7 @@
 """
 
 import pytest
-from answer_order import EVENT_S, AskedWorld, RecordingUser, older_answers
+from answer_order import EVENT_S, QueriedWorld, RecordingUser, older_answers
 
 from roadhead.api.answers import Answer
 from roadhead.api.job_states import JobStates
@@ -54,7 +54,7 @@
 
 def played(event, condition, text=""):
     """Returns a finished world in which an event took place under a condition."""
-    world = AskedWorld(event, CONDITIONS[condition] + text)
+    world = QueriedWorld(event, CONDITIONS[condition] + text)
     if condition in ("watch lags", "dropped, and does not know it"):
         world.sim.call_at(EVENT_S - 25, world.silent_watches.add, READER)
     if condition == "dropped, and does not know it":
@@ -79,15 +79,15 @@
 def test_no_answer_is_older_than_one_given_before(event, condition):
     world = played(event, condition)
     assert older_answers(world.answers) == []
-    assert world.violations == [] and world.ghosts() == [] and world.failures.texts == []
+    assert world.violations == [] and world.stale_open_jobs() == [] and world.failures.texts == []
 
 
 def answer_during_archiving(method):
     """Returns the reply about a job that ended long ago, whose record is archived between two reads."""
-    world, name, answers = AskedWorld("ended", ""), "req-000009", []
+    world, name, answers = QueriedWorld("ended", ""), "req-000009", []
     world.sim.run_until(20.0)
     world.state.put(f"j/{name}", {"s": "done", "n": 1, "d": 1})
-    world.moving = name
+    world.job_to_archive = name
     user = world.users["req-000001"]
     job = {**user.job, "id": name}
 
@@ -97,7 +97,7 @@
 
     world.user_loop.spawn(ask(), "ask")
     world.sim.run_until(25.0)
-    assert world.moving is None, "the record was not read while it moved"
+    assert world.job_to_archive is None, "the record was not read while it moved"
     return answers[0]
 
 
@@ -123,11 +123,11 @@
 
 def status_during_creation():
     """Returns the status of a query for a job that the controller accepts while its read finds none."""
-    world, answers = AskedWorld("ended", ""), []
+    world, answers = QueriedWorld("ended", ""), []
     world.sim.run_until(20.0)
     user = RecordingUser(world, {**world.users["req-000001"].job, "id": "req-000009"}, 1)
     world.jobs[user.id], world.users[user.id] = user.job, user
-    world.held[f"/store/f/{user.id}"] = 0.2
+    world.delayed_answers[f"/store/f/{user.id}"] = 0.2
 
     async def ask():
         answers.append(await user._request("GET", f"/v1/jobs/{user.id}", None, 5.0, 1))
@@ -246,17 +246,17 @@
     with pytest.MonkeyPatch.context() as patch:
         mutate(patch)
         world = played(event, condition)
-    assert older_answers(world.answers) or world.ghosts(), mutate.__doc__
+    assert older_answers(world.answers) or world.stale_open_jobs(), mutate.__doc__
 
 
 def run_end_during_cancellation():
     """Runs a world in which a job ends after a cancellation has read its record and before it is written."""
-    world = AskedWorld("ended", "")
+    world = QueriedWorld("ended", "")
     world.sim.run_until(39.0)
-    world.held["/store/j/req-000001"] = 1.0
+    world.delayed_answers["/store/j/req-000001"] = 1.0
     world.user_loop.spawn(world.users["req-000001"].cancel(1), "cancel")
     world.sim.run_until(39.1)
-    world._end(0)
+    world.end_job(0)
     return world.run()
 
 
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from test_odd_requests import Asked, body
+from test_odd_requests import ControllerClient, encode_submission
 
 from roadhead.api.answers import TEXTS, Cause, RequestKind, counter_name, to_refusal
 from roadhead.local.world import World
@@ -15,13 +15,13 @@
 OPERATIONS = Path(__file__).parent.parent / "docs" / "operations.md"
 
 
-class FirstControllerClient(Asked):
+class FirstControllerClient(ControllerClient):
     """A client of a world, which sends submissions to controller 0 at a given time."""
 
     def submit_at(self, second, fields=None):
         """Submits a job to controller 0 at `second` and returns (status, body, headers)."""
         self.world.sim.run_until(second)
-        return self.ask(0, "POST", "/v1/jobs", body(**(fields or {})))
+        return self.ask(0, "POST", "/v1/jobs", encode_submission(**(fields or {})))
 
     def count(self, request_kind, cause):
         """Returns how many requests of a kind controller 0 refused for a cause."""
@@ -53,7 +53,7 @@
     client = FirstControllerClient("at 14 outage 20")
     assert client.ask(0, "GET", "/v1/jobs/req-000001")[0] == 503
     assert client.ask(0, "POST", "/v1/jobs/req-000001/cancel")[0] == 503
-    assert client.ask(0, "POST", "/v1/jobs", body())[0] == 503
+    assert client.ask(0, "POST", "/v1/jobs", encode_submission())[0] == 503
     lines = client.world.nodes[0].summary()["troubles"]
     for request_kind in RequestKind:
         assert any(f"{request_kind.value}s answered 503" in line for line in lines)
@@ -113,7 +113,7 @@
     """Even if the creation queue is full, since it adds no creation."""
     client = FirstControllerClient("at 14 slow-state 3 10")
     world, answers = client.world, []
-    data = body()
+    data = encode_submission()
 
     async def submit():
         answers.append(await world.nodes[0].api._submit(data))
@@ -132,7 +132,7 @@
     node, answers = client.world.nodes[0], []
 
     async def submit():
-        answers.append((await node.api._submit(body()), client.world.sim.time))
+        answers.append((await node.api._submit(encode_submission()), client.world.sim.time))
 
     client.world.state.down = True
     client.world.sim.spawn(submit(), "submit")
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,7 +1,7 @@
 """Mutation tests of submissions repeated while their job is being taken over by another controller."""
 
 import pytest
-from mutation import assert_noticed
+from mutation import assert_detected
 
 from roadhead.jobs.job import Job
 from roadhead.jobs.job_store import JobStore
@@ -58,4 +58,4 @@
 
 @pytest.mark.parametrize("mutate", [match_outcomes_by_id_alone, settle_outcomes_twice])
 def test_a_removed_guard_is_detected(mutate):
-    assert_noticed(mutate, "repeat-while-taken-over")
+    assert_detected(mutate, "repeat-while-taken-over")
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -277,7 +277,7 @@
     ],
 )
 def test_breaking_a_safety_rule_is_detected(mutate, scenario):
-    mutation.assert_noticed(mutate, scenario)
+    mutation.assert_detected(mutate, scenario)
 
 
 def test_a_successor_that_reruns_recorded_tasks_is_detected():
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -8,7 +8,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_cost import HostedNode, Member, home_of, report
+from test_cost import HostedNode, Member, make_report, make_shard_leader
 
 from roadhead.admission.socket_budget import SocketBudget
 from roadhead.decision_log import DecisionLog
@@ -159,7 +159,7 @@
     The answer must include tasks just launched that their machine hasn't received yet, or the successor would
     start them elsewhere."""
     sent = []
-    leader = home_of(1, 0)
+    leader = make_shard_leader(1, 0)
     leader.apply_machine_list([], 100.0)
     leader.task_commands._send = leader._notifier._send = lambda label, frame: sent.append((label, frame))
     machine = leader.machines["n-000000"]
@@ -185,14 +185,14 @@
 
     The other must not start again what a machine reported while the first had requested the job last."""
     sent = []
-    leader = home_of(0, 0)
+    leader = make_shard_leader(0, 0)
     leader.task_commands._send = leader._notifier._send = lambda label, frame: sent.append((label, frame))
     leader.reconciliation.fence_shards([0], False)
     leader.apply_machine_list([listed("n-000000", "running")], 6.5)  # running before the shard moved here
     leader.task_commands.on_sync("heir", 2, frames.ReconcileRequest(1, 1, ["req-0"], []))
     leader.task_commands.on_sync("other", 3, frames.ReconcileRequest(1, 1, ["req-0"], []))
     assert sent == []
-    leader.report_processor.answer(report(0, 2))
+    leader.report_processor.answer(make_report(0, 2))
     for label in ("heir", "other"):
         received = [frame for to, frame in sent if to == label]
         assert [type(frame) for frame in received] == [frames.TaskStates, frames.ReconcileDone]
@@ -206,20 +206,20 @@
     """An owner claims a task on a machine that has not reported yet, and ends. Its successor requests the job
     without knowing of the task, and must be told of it, or the job never ends."""
     sent = []
-    leader = home_of(0, 0)
+    leader = make_shard_leader(0, 0)
     leader.task_commands._send = leader._notifier._send = lambda label, frame: sent.append((label, frame))
     leader.reconciliation.fence_shards([0], False)
     leader.apply_machine_list([listed("n-000000", "running")], 6.5)
     claims = [("n-000000", "req-0", 0, 1)]
     leader.task_commands.on_sync("ended", 1, frames.ReconcileRequest(1, 1, ["req-0"], claims))
     leader.task_commands.on_sync("heir", 2, frames.ReconcileRequest(1, 1, ["req-0"], []))
-    leader.report_processor.answer(report(0, 1))
+    leader.report_processor.answer(make_report(0, 1))
     assert [task.owner for task in leader.machines["n-000000"].tasks.values()] == [("heir", 2)]
     assert frames.TaskStates in [type(frame) for label, frame in sent if label == "heir"]
 
 
 def test_a_shard_under_a_new_token_is_reconciled_once_its_machines_have_reported():
-    leader = home_of(40, 0)
+    leader = make_shard_leader(40, 0)
     leader.apply_machine_list([], 100.0)
     assert leader.reconciliation.is_reconciled()
     other = next(iter(leader.machines.values()))
@@ -227,7 +227,7 @@
     leader.reconciliation.fence_shards([1], False)
     leader.reconciliation.apply_list(200.0, set())
     assert not leader.reconciliation.is_reconciled()
-    answer = report(0, 0, sequence=2)
+    answer = make_report(0, 0, sequence=2)
     answer.token = 9
     assert leader.report_processor.observe(other, answer) and leader.reconciliation.is_reconciled()
 
@@ -318,7 +318,7 @@
     """The answer names another session and arrives after the machine's shard has moved: the machine is no
     longer registered and must not be commanded again. A simulated day once made the
     routine fail here."""
-    leader = home_of(1, 0)
+    leader = make_shard_leader(1, 0)
     machine = leader.machines["n-000000"]
     machine.confirmed_token = 0
     asked = []
@@ -330,7 +330,7 @@
             asked.append(machine.id)
             leader.reconciliation.drop_shards([machine.shard])
             leader.registry.remove(machine)
-            answer = report(0, 0, sequence=5)
+            answer = make_report(0, 0, sequence=5)
             answer.session = 3
             return 409, messages.encode_struct(answer), None
 
@@ -342,7 +342,7 @@
     """Safety 2: an answer from a later session ends every task and launch of the previous session.
 
     A second request would carry no launch, though it doesn't check authority again. The loss is counted."""
-    leader, counters = home_of(1, 0), Counters()
+    leader, counters = make_shard_leader(1, 0), Counters()
     machine = leader.machines["n-000000"]
     machine.add_task(Task("req-0", 0, 1, LAUNCHING, ("here", 1)))
     sent, authority = [], [True]
@@ -353,7 +353,7 @@
         async def request(self, _method, _path, body, *_rest):
             sent.append(messages.decode(body))
             authority[0] = False
-            answer = report(0, 0, sequence=5)
+            answer = make_report(0, 0, sequence=5)
             answer.session = 2
             return 409, messages.encode_struct(answer), None
 
@@ -390,15 +390,15 @@
 
 def test_reports_of_a_machine_that_booted_after_lease_expiry_are_ignored():
     """Safety 3: those of one that a list showed running before count, since a successor waits for it."""
-    leader = home_of(0, 0)
+    leader = make_shard_leader(0, 0)
     leader.apply_machine_list([listed("n-000001", "starting"), listed("n-000002", "running")], 100.0)
     leader._member.may_take_on = lambda _shard: False
     leader.apply_machine_list([listed("n-000001", "running")], 110.0)
-    assert leader.report_processor.answer(report(1, 0)) is None
-    assert not leader.report_processor.observe(leader.machines["n-000001"], report(1, 0))
-    assert leader.report_processor.answer(report(2, 0)).token == leader.machines["n-000002"].token
+    assert leader.report_processor.answer(make_report(1, 0)) is None
+    assert not leader.report_processor.observe(leader.machines["n-000001"], make_report(1, 0))
+    assert leader.report_processor.answer(make_report(2, 0)).token == leader.machines["n-000002"].token
     leader._member.may_take_on = lambda _shard: True
-    assert leader.report_processor.answer(report(1, 0)).token == leader.machines["n-000001"].token
+    assert leader.report_processor.answer(make_report(1, 0)).token == leader.machines["n-000001"].token
 
 
 def test_booting_machines_of_a_relieved_leader_are_waited_for():
@@ -409,12 +409,12 @@
     term = Term().join("ctl-0", "a").join("ctl-1", "b")
     relieved = term.relieve("ctl-1")
     for unaware in (False, True):
-        leader = home_of(0, 0)
+        leader = make_shard_leader(0, 0)
         leader.reconciliation.on_relieved_changed(term, relieved if unaware else term)
         leader.reconciliation.fence_shards([0], False)
         leader.apply_machine_list([listed("n-000001", "starting")], 100.0)
         assert leader.reconciliation.is_reconciled() == (not unaware)
-    assert leader.report_processor.answer(report(1, 0)) and not leader.reconciliation.is_reconciled()
+    assert leader.report_processor.answer(make_report(1, 0)) and not leader.reconciliation.is_reconciled()
     leader.reconciliation.on_peer_term("ctl-1", term.number)  # it still has the earlier term
     assert leader.reconciliation.unaware_controllers() == ["ctl-1"]
     leader.reconciliation.on_peer_term("ctl-1", relieved.number)
@@ -446,7 +446,7 @@
 
 def test_a_short_fence_that_has_not_ended_is_extended_when_a_member_is_dropped():
     """Safety 3: that member may have handed over a shard without knowing the outcome, and may still serve."""
-    leader = home_of(0, 0)
+    leader = make_shard_leader(0, 0)
     short = leader.reconciliation.fence_ends_at(0)
     leader.reconciliation.extend_fences()
     long = leader.reconciliation.fence_ends_at(0)
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -4,7 +4,7 @@
 """
 
 import pytest
-from test_upgrade import LIMITS, Rolled, pipelines
+from test_upgrade import LIMITS, UpgradeWorld, pipelines
 
 from roadhead.local.world import World
 
@@ -84,7 +84,7 @@
     ("kind", "text", "matches"),
     [
         (World, PIPELINES, writes_of_jobs_with_upstream),
-        (Rolled, ROLL, writes_any_of("c/format", "c/term", "c/m/")),
+        (UpgradeWorld, ROLL, writes_any_of("c/format", "c/term", "c/m/")),
         (World, WIDE, writes_any_of("u/", "j/req-000131", "j/req-000132")),
     ],
     ids=["release and cancel", "gate", "parts"],
@@ -98,7 +98,7 @@
         for job, user in world.users.items():
             expected_state = "cancelled" if text == PIPELINES and job in cancelled else "done"
             assert user.last_state == expected_state, (steps, job, user.last_state)
-        if kind is Rolled:
+        if kind is UpgradeWorld:
             assert world.gate() == 4
         left = [key for key in world.state.data if key.startswith(("u/", "j/"))]
         assert left == [], (steps, left)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,7 @@
 from roadhead.membership.format_gate import FIRST_FORMAT, FormatGate, next_record
 
 
-class Rolled(World):
+class UpgradeWorld(World):
     """A world in which controllers in `old` run the version in production from their next start on."""
 
     def __init__(self, text):
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_rolling_upgrade_and_then_pipelines(seed):
     """Both versions serve side by side; the new format is in force only once all are upgraded."""
-    world = Rolled(f"""{LIMITS}
+    world = UpgradeWorld(f"""{LIMITS}
     seed {seed}
     capacity 8
     at 1 submit count=10 legs=10 runS=15
@@ -107,7 +107,7 @@
         for at in (2, 18, 34, 50, 66)
         for number, crew in enumerate(crews)
     )
-    world = Rolled(f"""{LIMITS}
+    world = UpgradeWorld(f"""{LIMITS}
     seed {seed}
     partitions 12
     teams 4
@@ -129,7 +129,7 @@
 
 def test_new_fields_are_refused_and_not_written_until_all_configured_members_are_upgraded():
     """The last one is down, not old, but may come back old, so upgrading the live ones doesn't suffice."""
-    world = Rolled(f"""{LIMITS}
+    world = UpgradeWorld(f"""{LIMITS}
     seed 2
     capacity 6
     at 1 submit count=4 legs=6 runS=10
@@ -209,7 +209,7 @@
 
 def played(seed):
     """Plays a random upgrade and returns what went wrong."""
-    world = Rolled(random_upgrade(seed)).run()
+    world = UpgradeWorld(random_upgrade(seed)).run()
     faults = [*world.violations, *world.failures.texts[:2]]
     if world.gate() != 4:
         faults.append(f"format {world.gate()} is in force")
@@ -355,7 +355,7 @@
 
 
 def test_an_empty_upstream_counts_as_none_even_before_the_format_gate_opens():
-    world = Rolled("""
+    world = UpgradeWorld("""
     at 1 submit count=2 legs=1 runS=3
     at 8 upgrade 0
     until 60
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -40,7 +40,7 @@
     "stowS": 0,
 }
 
-PLATFORM = {
+SETTINGS_DOCUMENT = {
     "label": "a",
     "location": "z",
     "front": "10.0.0.1:80",
@@ -220,7 +220,7 @@
 
 
 def test_settings_ignore_unknown_fields():
-    assert parse(json.dumps({**PLATFORM, "colour": "red"}).encode()).label == "a"
+    assert parse(json.dumps({**SETTINGS_DOCUMENT, "colour": "red"}).encode()).label == "a"
 
 
 @pytest.mark.parametrize(
@@ -237,13 +237,13 @@
 )
 def test_invalid_settings_are_rejected(change):
     with pytest.raises(SettingsError):
-        parse(json.dumps({**PLATFORM, **change}).encode())
+        parse(json.dumps({**SETTINGS_DOCUMENT, **change}).encode())
 
 
 def test_teams_are_checked():
     def teams(*teams):
-        deployment = {**PLATFORM["deployment"], "teams": list(teams)}
-        return parse(json.dumps({**PLATFORM, "deployment": deployment}).encode()).deployment.teams
+        deployment = {**SETTINGS_DOCUMENT["deployment"], "teams": list(teams)}
+        return parse(json.dumps({**SETTINGS_DOCUMENT, "deployment": deployment}).encode()).deployment.teams
 
     assert teams({"name": "guests"})[0].guarantee == (0, 0)
     assert teams({"name": "a", "cpus": 9, "cpus_max": 4, "gpus": 2})[0].guarantee == (4, 2)
@@ -260,11 +260,11 @@
         lambda inner: st.lists(inner, max_size=3) | st.dictionaries(texts, inner, max_size=3),
         max_leaves=8,
     ),
-    st.sampled_from(sorted(PLATFORM)),
+    st.sampled_from(sorted(SETTINGS_DOCUMENT)),
 )
 def test_settings_of_any_type_load_or_raise_settings_errors(value, name):
     try:
-        parse(json.dumps({**PLATFORM, name: value}).encode())
+        parse(json.dumps({**SETTINGS_DOCUMENT, name: value}).encode())
     except SettingsError as error:
         assert error.faults
 
@@ -281,19 +281,22 @@
     ],
 )
 def test_announced_limits_are_checked_like_the_current_ones(later, message, tmp_path, capsys):
-    deployment = {**PLATFORM["deployment"], "state": {**PLATFORM["deployment"]["state"], "next": later}}
+    deployment = {
+        **SETTINGS_DOCUMENT["deployment"],
+        "state": {**SETTINGS_DOCUMENT["deployment"]["state"], "next": later},
+    }
     file = tmp_path / "settings.json"
-    file.write_text(json.dumps({**PLATFORM, "deployment": deployment}))
+    file.write_text(json.dumps({**SETTINGS_DOCUMENT, "deployment": deployment}))
     assert cli.main(["check", "--config", str(file)]) == 2
     lines = capsys.readouterr().err.splitlines()
     assert len(lines) == 1 and message in lines[0]
 
 
 def test_announced_limits_may_be_left_out():
-    state = PLATFORM["deployment"]["state"]
+    state = SETTINGS_DOCUMENT["deployment"]["state"]
     for later in (None, {}, {"rps": 3}):
-        deployment = {**PLATFORM["deployment"], "state": {**state, "next": later}}
-        limits = parse(json.dumps({**PLATFORM, "deployment": deployment}).encode()).deployment.state
+        deployment = {**SETTINGS_DOCUMENT["deployment"], "state": {**state, "next": later}}
+        limits = parse(json.dumps({**SETTINGS_DOCUMENT, "deployment": deployment}).encode()).deployment.state
         assert limits.planned().txn_ops == state["txn_ops"]
         assert limits.lowered().rps == (3 if later and later.get("rps") else state["rps"])
 
--- a/tests/test_worker_leases.py
+++ b/tests/test_worker_leases.py
@@ -2,7 +2,7 @@
 
 import cbor2
 import pytest
-from hunt import played_report_orders
+from hunt import run_report_order_day
 from mutation import text_of
 from test_safety import ignore_renewals_by_overtaken_reports
 
@@ -203,4 +203,4 @@
     "seed", [16, 43, 44]
 )  # these broke ran_twice while answers to overtaken reports were not counted
 def test_random_days_with_reordered_reports_break_no_rule(seed):
-    assert played_report_orders(seed) == (seed, [])
+    assert run_report_order_day(seed) == (seed, [])
--- a/tests/write_faults.py
+++ b/tests/write_faults.py
@@ -134,7 +134,7 @@
         self.world = world
         self.fault = fault
         self.seen = 0  # writes of the fault's kind
-        self.struck = 0
+        self.writes_hit = 0
         self._handle = world.state.handle
         world.state.handle = self._intercept
         self.readers = {}  # job id -> CloseReader
@@ -145,7 +145,7 @@
         nth, self.seen = self.seen, self.seen + 1
         if not self.fault.nth <= nth <= self.fault.nth + self.fault.repeats:
             return await self._handle(method, path, args, body, host)
-        self.struck += 1
+        self.writes_hit += 1
         request = (method, path, args, body, host)
         if self.fault.late_s:
             self.world.sim.spawn(self._apply_late(request), "late write")
@@ -222,7 +222,7 @@
 class Outcome:
     """The result of a world with a fault in it."""
 
-    struck: int  # writes hit by the fault
+    writes_hit: int  # writes hit by the fault
     faults: tuple
     joins: int
     world: World
@@ -240,7 +240,7 @@
     world.run()
     history = TermHistory(world)
     faults = [*world.check(), *history.faults, *_unfinished(world)]
-    return Outcome(injector.struck, tuple(faults), history.joins, world)
+    return Outcome(injector.writes_hit, tuple(faults), history.joins, world)
 
 
 def _unfinished(world):
@@ -279,7 +279,7 @@
 
 def _played(fault):
     outcome = play(fault)
-    return fault, outcome.struck, outcome.faults, outcome.joins
+    return fault, outcome.writes_hit, outcome.faults, outcome.joins
 
 
 def main():
@@ -290,9 +290,9 @@
     chosen = [fault for fault in cases() if args.kind in (None, fault.kind)]
     rows = {}
     with multiprocessing.Pool(args.jobs) as pool:
-        for fault, struck, faults, _joins in pool.imap(_played, chosen):
+        for fault, writes_hit, faults, _joins in pool.imap(_played, chosen):
             row = rows.setdefault(fault.kind, [0, 0, 0])
-            for column, value in enumerate((1, bool(struck), bool(faults))):
+            for column, value in enumerate((1, bool(writes_hit), bool(faults))):
                 row[column] += value
             if faults:
                 print(f"{fault}: {len(faults)} faults: {'; '.join(faults[:3])[:400]}", flush=True)
