--- a/roadhead/homes/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Machines homed at this controller: reports, leases, commands and grants."""
--- a/roadhead/local/poll_storm.py
+++ b/roadhead/local/poll_storm.py
@@ -1,10 +1,13 @@
-"""Polls at a steady rate, beside those of the jobs' own users."""
+"""Generates a steady rate of polls, in addition to those of the jobs' own users."""
 
 from roadhead.local.histories import FINAL
 
 
 class PollStorm:
-    """Polls at a steady rate: of known jobs, and every fifth of one that nobody submitted."""
+    """Polls accepted jobs at a steady rate; every fifth poll is for a job that nobody submitted.
+
+    `polls` counts the polls sent, `answered` those that got 200 or 404.
+    """
 
     def __init__(self, world, rate, seconds):
         self.world = world
@@ -22,9 +25,9 @@
         user = users[number % len(users)]
         self.polls += 1
         if number % 5:
-            reply = await user._ask("GET", f"/v1/jobs/{user.id}", None, 2.0)
+            reply = await user._request("GET", f"/v1/jobs/{user.id}", None, 2.0)
             if reply.status == 200 and reply.body["status"] in FINAL:
-                user._hear(reply)
+                user._handle_reply(reply)
         else:
-            reply = await user._ask("GET", f"/v1/jobs/req-{900000 + number % 40}", None, 2.0)
+            reply = await user._request("GET", f"/v1/jobs/req-{900000 + number % 40}", None, 2.0)
         self.answered += reply.status in (200, 404)
--- /dev/null
+++ b/roadhead/machines/__init__.py
@@ -0,0 +1,1 @@
+"""Leads machine shards: workers' reports, leases, commands and capacity grants."""
--- /dev/null
+++ b/roadhead/machines/worker_client.py
@@ -0,0 +1,158 @@
+"""Direct requests to workers: one at a time per machine, over connections that are kept open."""
+
+import logging
+
+from roadhead.decision_log import Decision
+from roadhead.machines.machine import decision_subject
+from roadhead.wire import messages
+from roadhead.wire.http import HttpClient, NoResponseError
+
+log = logging.getLogger("roadhead.workers")
+
+
+class WorkerClient:
+    """Sends machines their commands directly, without waiting for their next report.
+
+    At most `sockets.max_command_requests` requests are under way at once, at most half of them to machines
+    that have been silent for `silent_s` or longer. So machines that answer don't wait for those that don't.
+    `may_command()` tells whether this controller may command workers now.
+    """
+
+    def __init__(self, loop, net, member, timeout_s, may_command, silent_s, sockets, decisions):
+        self._loop = loop
+        self._net = net
+        self._member = member
+        self._timeout_s = timeout_s
+        self._may_command = may_command
+        self.shard_leader = None
+        self._silent_s = silent_s
+        self._sockets = sockets
+        self._decisions = decisions
+        self._clients = {}  # machine -> Client, least recently used first
+        self._queues = {}, {}  # machines to be asked -> True, ordered sets: heard lately, silent
+        self._in_flight = [0, 0]  # requests under way for each of the two queues
+
+    def queue_request(self, machine):
+        """Sends the machine its pending commands, or only shows it the token of its new leader."""
+        if machine.request_in_flight:
+            machine.request_again = True
+            return
+        machine.request_in_flight = True
+        heard_at = machine.heard_at
+        silent = heard_at is None or self._loop.now() - heard_at > self._silent_s
+        self._queues[silent][machine] = True
+        self._next()
+
+    def _next(self):
+        limit = self._sockets.max_command_requests
+        for silent, queue in enumerate(self._queues):
+            while queue and sum(self._in_flight) < limit and (not silent or 2 * self._in_flight[1] < limit):
+                machine = next(iter(queue))
+                del queue[machine]
+                self._in_flight[silent] += 1
+                self._loop.spawn(self._run_requests(machine, silent), f"ask {machine.id}")
+
+    async def _run_requests(self, machine, silent):
+        leader = self.shard_leader
+        try:
+            while True:
+                machine.request_again = False
+                if leader.machines.get(machine.id) is not machine or not self._member.joined:
+                    return
+                if not self._may_command():
+                    # A job may have been cancelled without word reaching this controller, and a worker
+                    # whose lease has ended would still accept a direct launch.
+                    return
+                report = await self._send_once(machine)
+                if report is None:
+                    return
+                if leader.machines.get(machine.id) is machine and self._member.joined:
+                    leader.report_processor.observe(machine, report)
+                if not machine.request_again:
+                    return
+        finally:
+            machine.request_in_flight = False
+            self._in_flight[silent] -= 1
+            self._next()
+
+    def _client(self, machine):
+        """The machine's connection; a new one may replace the connection unused for longest."""
+        client = self._clients.pop(machine.id, None)
+        if client is None or client.address != machine.address:
+            client = HttpClient(self._loop, self._net, machine.address, max_idle=1, max_body=1 << 20)
+        self._clients[machine.id] = client
+        if len(self._clients) > max(self._sockets.max_idle_command_connections, sum(self._in_flight)):
+            self.forget([next(iter(self._clients))])
+        return client
+
+    async def _send_once(self, machine):
+        """Sends the commands, twice if the session was wrong; returns the answered Report or None."""
+        client = self._client(machine)
+        # The session of a machine never heard is a guess. A wrong one is answered with a report (409)
+        # that tells the right one.
+        for _ in range(2):
+            orders, launches = machine.orders()
+            if machine.confirmed_token != machine.token:
+                orders, launches = [], []
+            elif not orders:
+                return None
+            session = machine.session or 1
+            body = messages.commands(machine.token, session, orders)
+            first_sent = self.shard_leader.task_commands.begin_direct_send(machine, launches)
+            try:
+                status, data, _headers = await client.request("POST", "/commands", body, self._timeout_s)
+            except NoResponseError as error:
+                log.debug("commands to %s: %s", machine.id, error)
+                if not error.sent:
+                    self.shard_leader.task_commands.end_direct_send(first_sent)
+                return None
+            self.shard_leader.task_commands.end_direct_send(first_sent)
+            if orders and not (self._member.joined and self._may_command()):
+                # The request named the session: if it arrived late, that session's lease bounds what it did.
+                self._decisions.count("authority_lost")
+                self._decisions.note(
+                    Decision.AUTHORITY_LOST, decision_subject(machine), status=status, session=session
+                )
+            if status not in (200, 409):
+                return None
+            try:
+                report = messages.decode_as(data, messages.Report)
+                report.check()
+            except messages.InvalidMessageError as error:
+                log.error("machine %s answered a command with an invalid report: %s", machine.id, error)
+                return None
+            if status == 200 or report.session == session:
+                return report
+            if self.shard_leader.machines.get(machine.id) is not machine:
+                return None  # its shard has another leader meanwhile, which hears and commands it
+            self.shard_leader.report_processor.observe(machine, report)
+        return None
+
+    async def count_reachable(self, addresses):
+        """How many of the workers at `addresses` answer."""
+        count = 0
+        for address in addresses:
+            client = HttpClient(self._loop, self._net, address, max_idle=0)
+            try:
+                await client.request("GET", "/inspect", b"", self._timeout_s)
+                count += 1
+            except NoResponseError:
+                pass
+        return count
+
+    def forget(self, names):
+        """Closes the connections to the machines of these names."""
+        for name in names:
+            client = self._clients.pop(name, None)
+            if client is not None:
+                client.close()
+
+    def close(self):
+        """Ends with the incarnation: drops queued requests and closes all connections."""
+        for queue in self._queues:
+            queue.clear()
+        self.forget(list(self._clients))
+
+    def trim(self):
+        """Closes connections to machines that this controller no longer leads."""
+        self.forget([name for name in self._clients if name not in self.shard_leader.machines])
--- a/roadhead/membership/member.py
+++ b/roadhead/membership/member.py
@@ -1,12 +1,18 @@
-"""This process's place in the term: its lease, joining, watching, dropping the dead."""
+"""This process's membership: joining, its lease, watching the term, and dropping members that have ended."""
 
 import logging
 import secrets
 
-from roadhead.membership.gate import GATE
+from roadhead.membership.format_gate import GATE
 from roadhead.membership.term import Term
 from roadhead.runtime.loop import Signal
-from roadhead.state.client import Conflict, LeaseGone, TooOld, Unavailable, Unsure
+from roadhead.state.client import (
+    CompactedError,
+    ConflictError,
+    LeaseExpiredError,
+    UnavailableError,
+    UnknownOutcomeError,
+)
 
 log = logging.getLogger("roadhead.member")
 
@@ -15,12 +21,16 @@
 MEMBER = "c/m/"
 CANCEL = "c/x/"
 TENANT = "c/t/"
-DRIFT = 0.0005
+CLOCK_DRIFT = 0.0005  # largest relative drift between two steady clocks
 
 
 class Member:
-    """Callbacks: `on_term(old, new)` for each adopted term, `on_lost()` when this
-    incarnation was dropped, `on_cancel(jobs)` for cancellations seen."""
+    """Keeps this controller a member and its knowledge of the term up to date.
+
+    `lease_s`: of the member's lease; `watch_s`: for how long one watch request waits. Callbacks:
+    `on_term(old, new)` for each adopted term, `on_lost()` when this incarnation was dropped,
+    `on_cancel(jobs)` for cancellations seen, `on_tenant(key, record, revision)` for tenants' records.
+    """
 
     def __init__(
         self,
@@ -32,8 +42,8 @@
         on_term,
         on_lost,
         on_cancel,
-        gate,
-        slots=1,
+        format_gate,
+        partitions=1,
         on_tenant=None,
         time_of_day=None,
     ):
@@ -45,65 +55,69 @@
         self._on_term = on_term
         self._on_lost = on_lost
         self._on_cancel = on_cancel
-        self.gate = gate
+        self.format_gate = format_gate
         self._time_of_day = time_of_day
-        self._slots = slots  # of wardens, in a term that has fewer
-        self._on_tenant = on_tenant  # (key, record, stamp) of a tenant's record, or None
+        self._partitions = partitions  # least number of quota partitions in a term that this process joins
+        self._on_tenant = on_tenant  # None where no tenants are served
         self.term = None
         self.revision = 0
         self.incarnation = 0
-        self.replaced = False  # whether this label was a home until this incarnation joined
-        self._permit = None
-        self.renewed_at = -1e9
-        self.watched_at = -1e9  # send time of the newest watch or listing that was answered
-        self.term_at = -1e9  # until then the term known here was surely the one in force
-        self._present = {}  # label -> newest format of records that it knows
-        self._marks = {}  # key of a cancellation's mark -> since when it was seen here
+        self.replaced = False  # whether this label led shards until this incarnation joined
+        self._lease_id = None
+        self.renewed_at = -1e9  # when the newest successful renewal of the lease was sent
+        self.watched_at = -1e9  # when the newest answered watch or listing was sent
+        self.term_at = -1e9  # until then the term known here was certainly the one in force
+        self._live_formats = {}  # label of a live controller -> newest format of records that it knows
+        self._cancel_marks = {}  # key of a cancellation mark -> since when it is known here
         self._lost = Signal()
-        self._absent = Signal()
-        self._amend = Signal()
-        self._amendments = []  # (method of Term, its arguments)
-        self._said_outdated = self._raising = False
-        self._offered = set()  # shares that a transaction under this term may have given away
-        self._ending = False  # this process gives all up and joins no more
-        self._not_before = {}  # amendment -> when it may be wanted again
+        self._absence = Signal()
+        self._amendment_wanted = Signal()
+        self._amendments = []  # (name of a method of Term, its arguments)
+        self._logged_outdated = self._gate_write_pending = False
+        self._shards_offered = set()  # shards that a transaction under this term may have given away
+        self._leaving = False  # this process gives everything up and does not join again
+        self._not_before = {}  # amendment -> when it may be requested again
 
     @property
     def joined(self):
+        """Whether this process is a member."""
         return self.incarnation != 0
 
-    def lapsed(self):
-        """True if the lease may have ended: others may go on without this member."""
-        return self._loop.now() - self.renewed_at > self._lease_s * (1 - DRIFT)
+    def lease_may_have_expired(self):
+        """Whether the lease may have ended, so that others may go on without this member."""
+        return self._loop.now() - self.renewed_at > self._lease_s * (1 - CLOCK_DRIFT)
+
+    def may_take_on(self, shard):
+        """Whether machines of a shard that the term gives to this member may be heard for the first time.
 
-    def takes_on(self, share):
-        """Whether a machine of a share that the term gives to this member may be heard for the first time:
-        nobody else can be its home by now, as after a lapse, or a move whose outcome is not known. A new
-        home does not wait for machines that came up since it was their home (safety 3)."""
-        return not (self.lapsed() or self._ending or share in self._offered)
+        They may not while another controller may lead the shard by now, as after an ended lease, or a move
+        whose outcome is unknown. A new leader does not wait for machines that came up since it leads (safety
+        3).
+        """
+        return not (self.lease_may_have_expired() or self._leaving or shard in self._shards_offered)
 
     def adopt(self, record, revision):
-        """Takes a term record that is newer than the one known."""
+        """Takes over a term record if it is newer than the one known."""
         if revision <= self.revision:
             return
-        self._offered.clear()
+        self._shards_offered.clear()
         old, self.term, self.revision = self.term, Term.from_record(record), revision
         if not self.joined:
             return
         if not self.term.serves(self.label, self.incarnation):
-            log.info("dropped by term %d", self.term.number)
-            self._lose()
+            log.info("this incarnation was dropped by term %d", self.term.number)
+            self._end_incarnation()
             return
-        log.info("term %d: %s", self.term.number, sorted(self.term.members))
+        log.info("term %d: members %s", self.term.number, sorted(self.term.members))
         self._on_term(old, self.term)
 
     async def run(self):
-        """Joins, serves until dropped, and joins again as a new incarnation."""
-        while not self._ending:
+        """Joins, serves until dropped, and joins again as a new incarnation, until it leaves."""
+        while not self._leaving:
             try:
                 if not await self._join():
                     continue
-            except (Unavailable, Unsure, Conflict, LeaseGone) as error:
+            except (UnavailableError, UnknownOutcomeError, ConflictError, LeaseExpiredError) as error:
                 log.debug("joining: %r", error)
                 await self._loop.sleep(self._lease_s / 20)
                 continue
@@ -118,29 +132,29 @@
                     duty.cancel()
 
     async def _join(self):
-        """True once joined; False if this version may not serve what is stored."""
+        """Returns True once joined; False if the records' format is newer than this version knows."""
         sent_at = self._loop.now()
-        self._permit = await self._state.lease(self._lease_s)
+        self._lease_id = await self._state.lease(self._lease_s)
         nonce = secrets.token_hex(6)
         self.replaced = False
         while True:
             await self._read_all()
-            if self.gate.outdated:
-                if not self._said_outdated:
-                    self._said_outdated = True
+            if self.format_gate.is_outdated:
+                if not self._logged_outdated:
+                    self._logged_outdated = True
                     log.error(
-                        "the records are of format %d, this version knows %d: it serves nothing",
-                        self.gate.force,
-                        self.gate.knows,
+                        "can't join: the records have format %d, this version knows %d",
+                        self.format_gate.in_force,
+                        self.format_gate.knows,
                     )
                 await self._loop.sleep(self._lease_s)
                 return False
             term = self.term or Term()
             entry = term.members.get(self.label)
             if entry is not None and entry[2] == nonce:
-                break  # an earlier try went through although its answer was lost
+                break  # an earlier try succeeded although its answer was lost
             self.replaced = entry is not None and self.label not in term.relieved
-            new = term.spread(self._slots).join(self.label, nonce)
+            new = term.with_partitions(self._partitions).join(self.label, nonce)
             try:
                 await self._state.multi(
                     [(TERM, self.revision)],
@@ -148,89 +162,99 @@
                         {"put": TERM, "data": new.to_record()},
                         {
                             "put": MEMBER + self.label,
-                            "data": self._entry(term.next),
-                            "permit": self._permit,
+                            "data": self._member_record(term.next_token),
+                            "permit": self._lease_id,
                         },
                     ],
                 )
-            except (Conflict, Unsure):
+            except (ConflictError, UnknownOutcomeError):
                 continue
         self.renewed_at = sent_at
         self.incarnation = entry[0]
         self._lost = Signal()
-        log.info("joined term %d as %d", self.term.number, self.incarnation)
+        log.info("joined term %d as incarnation %d", self.term.number, self.incarnation)
         self._on_term(None, self.term)
-        if self.term.members.keys() - self._present:
-            self._absent.set()
+        if self.term.members.keys() - self._live_formats:
+            self._absence.set()
         return True
 
-    def _entry(self, incarnation):
-        return {"incarnation": incarnation, "format": self.gate.knows}
-
-    def _take_gate(self, record, stamp):
-        was = self.gate.force
-        self.gate.take(record, stamp)
-        if self.gate.force != was:
-            log.info("format %d is in force", self.gate.force)
-        if self.gate.outdated and self.joined:
-            self._lose()
-
-    def _lose(self):
-        """This incarnation serves no more."""
+    def _member_record(self, incarnation):
+        """This member's record, which exists as long as its lease."""
+        return {"incarnation": incarnation, "format": self.format_gate.knows}
+
+    def _apply_gate(self, record, stamp):
+        """Takes in the format gate's record; stops serving if this version is too old for it."""
+        old_format = self.format_gate.in_force
+        self.format_gate.take(record, stamp)
+        if self.format_gate.in_force != old_format:
+            log.info("format %d of records is in force", self.format_gate.in_force)
+        if self.format_gate.is_outdated and self.joined:
+            self._end_incarnation()
+
+    def _end_incarnation(self):
+        """Ends this incarnation's service."""
         self.incarnation = 0
         self._lost.set()
         self._on_lost()
 
-    def raise_gate(self):
-        """Writes down what versions were seen, and opens the gate once all are new: one of the members
-        that know the newest does it."""
-        newest = [label for label in sorted(self.term.members) if self._present.get(label) == self.gate.knows]
-        if not newest or newest[0] != self.label or self._raising:
+    def advance_format_gate(self):
+        """Records which formats the live controllers know, and raises the format in force once all know it.
+
+        Of the members that know the newest format, the one with the smallest label does this.
+        """
+        newest = [
+            label
+            for label in sorted(self.term.members)
+            if self._live_formats.get(label) == self.format_gate.knows
+        ]
+        if not newest or newest[0] != self.label or self._gate_write_pending:
             return
-        record = self.gate.following(dict(self._present), self._time_of_day())
+        record = self.format_gate.next_record(dict(self._live_formats), self._time_of_day())
         if record is not None:
-            self._raising = True
-            self._loop.spawn(self._raise_gate(record), "gate")
+            self._gate_write_pending = True
+            self._loop.spawn(self._write_gate(record), "gate")
 
-    async def _raise_gate(self, record):
-        # Whoever joins changes the term: none that was not looked at is a member then.
+    async def _write_gate(self, record):
+        # A controller that joins changes the term, so the condition on it excludes members not looked at.
         try:
             stamp = await self._state.multi(
-                [(GATE, self.gate.stamp), (TERM, self.revision)], [{"put": GATE, "data": record}]
+                [(GATE, self.format_gate.stamp), (TERM, self.revision)], [{"put": GATE, "data": record}]
             )
-            self._take_gate(record, stamp)
-        except (Unavailable, Unsure, Conflict) as error:
+            self._apply_gate(record, stamp)
+        except (UnavailableError, UnknownOutcomeError, ConflictError) as error:
             log.debug("gate: %r", error)
         finally:
-            self._raising = False
+            self._gate_write_pending = False
 
     async def _read_all(self):
+        """Reads all records below PREFIX and takes them in, as the start of a watch."""
         sent_at = self._loop.now()
         items, revision = await self._state.list(PREFIX)
-        self._entry_stamp = next((stamp for key, _value, stamp in items if key == MEMBER + self.label), 0)
-        self._present = {
+        self._member_stamp = next((stamp for key, _value, stamp in items if key == MEMBER + self.label), 0)
+        self._live_formats = {
             key[len(MEMBER) :]: value["format"] for key, value, _ in items if key.startswith(MEMBER)
         }
         for key, value, stamp in items:
             if key == TERM:
                 self.adopt(value, stamp)
             elif key == GATE:
-                self._take_gate(value, stamp)
+                self._apply_gate(value, stamp)
             elif self._on_tenant is not None and key.startswith(TENANT):
                 self._on_tenant(key, value, stamp)
         marks = [key for key, _, _ in items if key.startswith(CANCEL)]
-        self._marks = {key: self._marks.get(key, sent_at) for key in marks}
+        self._cancel_marks = {key: self._cancel_marks.get(key, sent_at) for key in marks}
         if marks:
             self._on_cancel([key[len(CANCEL) :] for key in marks])
-        self._seen = revision
-        self._watched(sent_at)
+        self._watch_revision = revision
+        self._note_watched(sent_at)
 
-    def _watched(self, sent_at):
+    def _note_watched(self, sent_at):
+        """Notes that the state as of `sent_at` is known."""
         self.watched_at = max(self.watched_at, sent_at)
         self.term_at = max(self.term_at, sent_at)
 
-    async def confirm(self):
-        """Reads the term, and adopts it if it is newer. Raises Unavailable or Unsure."""
+    async def confirm_term(self):
+        """Reads the term, and adopts it if it is newer. Raises UnavailableError or UnknownOutcomeError."""
         sent_at = self._loop.now()
         record, revision = await self._state.get(TERM)
         if record is not None:
@@ -238,57 +262,60 @@
         self.term_at = max(self.term_at, sent_at)
 
     async def _renew(self):
+        """Renews the lease for ever."""
         while True:
             sent_at = self._loop.now()
             try:
-                await self._state.touch(self._permit)
+                await self._state.renew_lease(self._lease_id)
                 self.renewed_at = sent_at
-            except LeaseGone:
-                # The lease ended, but nobody may have dropped us yet: if so, stay under
-                # a new lease, else the term read here shows that we are out.
+            except LeaseExpiredError:
+                # The lease has ended, but perhaps no other member has dropped this one yet. If so, it stays
+                # a member with a new lease, else the term that is read here shows that it was dropped.
                 await self._new_lease()
-            except (Unavailable, Unsure) as error:
+            except (UnavailableError, UnknownOutcomeError) as error:
                 log.debug("renewal: %r", error)
                 await self._loop.sleep(self._lease_s / 24)
                 continue
             await self._loop.sleep(max(0.0, sent_at + self._lease_s / 4 - self._loop.now()))
 
     async def _new_lease(self):
+        """Ties this member's record to a new lease, unless the member was dropped."""
         try:
             sent_at = self._loop.now()
-            permit = await self._state.lease(self._lease_s)
+            lease_id = await self._state.lease(self._lease_s)
             await self._read_all()
             if not self.joined:
                 return
-            # Without its own stamp an earlier try could take effect late, and tie the entry to a lease that
-            # nobody renews.
+            # The condition on the record's own revision keeps an earlier try from taking effect later and
+            # tying the record to a lease that nobody renews.
             await self._state.multi(
-                [(TERM, self.revision), (MEMBER + self.label, self._entry_stamp)],
+                [(TERM, self.revision), (MEMBER + self.label, self._member_stamp)],
                 [
                     {
                         "put": MEMBER + self.label,
-                        "data": self._entry(self.incarnation),
-                        "permit": permit,
+                        "data": self._member_record(self.incarnation),
+                        "permit": lease_id,
                     }
                 ],
             )
-            self._permit, self.renewed_at = permit, sent_at
-        except (Unavailable, Unsure, Conflict, LeaseGone) as error:
+            self._lease_id, self.renewed_at = lease_id, sent_at
+        except (UnavailableError, UnknownOutcomeError, ConflictError, LeaseExpiredError) as error:
             log.debug("new lease: %r", error)
             await self._loop.sleep(self._lease_s / 24)
 
     async def _watch(self):
+        """Watches all records below PREFIX for ever, and takes their changes in."""
         while True:
             sent_at = self._loop.now()
             try:
-                events, revision = await self._state.changes(PREFIX, self._seen, self._watch_s)
-            except TooOld:
+                events, revision = await self._state.changes(PREFIX, self._watch_revision, self._watch_s)
+            except CompactedError:
                 try:
                     await self._read_all()
-                except (Unavailable, Unsure):
+                except (UnavailableError, UnknownOutcomeError):
                     await self._loop.sleep(self._lease_s / 24)
                 continue
-            except (Unavailable, Unsure) as error:
+            except (UnavailableError, UnknownOutcomeError) as error:
                 log.debug("watch: %r", error)
                 await self._loop.sleep(self._lease_s / 24)
                 continue
@@ -298,152 +325,161 @@
                 if key == TERM and "put" in event:
                     self.adopt(event["data"], event["stamp"])
                 elif key == GATE and "put" in event:
-                    self._take_gate(event["data"], event["stamp"])
+                    self._apply_gate(event["data"], event["stamp"])
                 elif key.startswith(MEMBER):
                     label = key[len(MEMBER) :]
                     if "put" in event:
-                        self._present[label] = event["data"]["format"]
+                        self._live_formats[label] = event["data"]["format"]
                     else:
-                        self._present.pop(label, None)
-                        self._absent.set()
+                        self._live_formats.pop(label, None)
+                        self._absence.set()
                 elif key.startswith(CANCEL):
                     if "put" in event:
                         cancelled.append(key[len(CANCEL) :])
-                        self._marks[key] = self._loop.now()
+                        self._cancel_marks[key] = self._loop.now()
                     else:
-                        self._marks.pop(key, None)
+                        self._cancel_marks.pop(key, None)
                 elif self._on_tenant is not None and key.startswith(TENANT) and "put" in event:
                     self._on_tenant(key, event["data"], event["stamp"])
-            self._seen = max(self._seen, revision)
-            self._watched(sent_at)
+            self._watch_revision = max(self._watch_revision, revision)
+            self._note_watched(sent_at)
             if cancelled:
                 self._on_cancel(cancelled)
 
-    async def newest_mark(self):
-        """When the last cancellation became known here of a job that may have tasks yet, None without any;
-        of all that were durable when this was called. Raises Unavailable or Unsure."""
+    async def newest_cancellation_at(self):
+        """When the newest cancellation mark became known here, None if there are no marks.
+
+        Considers all marks that were durable when this was called; a mark exists while tasks of its job may
+        run. Raises UnavailableError or UnknownOutcomeError.
+        """
         items, _revision = await self._state.list(CANCEL)
         now = self._loop.now()
-        return max((self._marks.get(key, now) for key, _value, _stamp in items), default=None)
+        return max((self._cancel_marks.get(key, now) for key, _value, _stamp in items), default=None)
+
+    def stale_cancellation_marks(self, age_s):
+        """Keys of cancellation marks older than `age_s`, which nobody needs any more.
 
-    def stale_marks(self, age_s):
-        """Keys of cancellations' marks that have been there for so long that nobody needs them: whose
-        owner ended before it could drop them. One member names them."""
-        before = self._loop.now() - age_s
+        Their owners ended before they could delete them. Only the member with the smallest label gets any.
+        """
+        limit = self._loop.now() - age_s
         return (
-            [key for key, since in self._marks.items() if since <= before]
+            [key for key, since in self._cancel_marks.items() if since <= limit]
             if self.label == min(self.term.members)
             else []
         )
 
     async def _drop_absent(self):
-        """Drops members whose key is gone, in one transaction that checks that it is."""
+        """Drops members whose record is gone, in one transaction that checks that it is."""
         while True:
-            await self._absent.wait()
-            while self.joined and (absent := self.term.members.keys() - self._present - {self.label}):
+            await self._absence.wait()
+            while self.joined and (absent := self.term.members.keys() - self._live_formats - {self.label}):
                 rank = sorted(set(self.term.members) - absent).index(self.label)
                 await self._loop.sleep(0.02 * self._lease_s * rank)
-                absent &= self.term.members.keys() - self._present
+                absent &= self.term.members.keys() - self._live_formats
                 if not absent:
                     continue
-                log.info("dropping %s", sorted(absent))
+                log.info("dropping members whose lease has ended: %s", sorted(absent))
                 new = self.term.drop(absent)
                 try:
                     await self._write_term(new, ((MEMBER + label, 0) for label in absent))
-                except (Unavailable, Unsure, Conflict) as error:
+                except (UnavailableError, UnknownOutcomeError, ConflictError) as error:
                     log.debug("drop: %r", error)
                     await self._loop.sleep(self._lease_s / 12)
                     try:
                         await self._read_all()
-                    except (Unavailable, Unsure):
+                    except (UnavailableError, UnknownOutcomeError):
                         pass
 
-    def want_new_token(self, share):
-        """Asks for a higher token, so that unanswered commands can't be executed any more."""
-        self._want("raise_share", share)
+    def request_new_token(self, shard):
+        """Requests a higher token for a shard, so that unanswered commands can't be executed any more."""
+        self._request_amendment("raise_share", shard)
 
     def relieve(self, label):
-        """Workers of a member that is otherwise well can't reach it: others shall be their homes."""
-        self._want("relieve", label)
+        """Requests other leaders for the shards of a live member that workers can't reach."""
+        self._request_amendment("relieve", label)
 
     def restore(self):
-        """Workers reach this member again."""
-        self._want("restore", self.label)
+        """Requests that this member may lead shards again, as workers reach it."""
+        self._request_amendment("restore", self.label)
 
-    def _want(self, *amendment):
+    def _request_amendment(self, *amendment):
+        """Requests a change of the term: a method of Term and its arguments, at most once in two leases."""
         now = self._loop.now()
         if now >= self._not_before.get(amendment, 0.0):
             self._not_before[amendment] = now + 2 * self._lease_s
             self._amendments.append(amendment)
-            self._amend.set()
+            self._amendment_wanted.set()
 
     async def _write_term(self, new, conditions=(), writes=()):
-        """Puts the next term in the place of the one known, and adopts it. Raises what
-        `StateClient.multi` does."""
+        """Replaces the known term by the next one, and adopts it. Raises what StateClient.multi does."""
         record = new.to_record()
         revision = await self._state.multi(
             [(TERM, self.revision), *conditions], [{"put": TERM, "data": record}, *writes]
         )
         self.adopt(record, revision)
 
-    async def give(self, slots):
-        """Hands slots of wardens on: True if it is so, False if not, None if that is not known."""
-        new = self.term.give(slots)
+    async def hand_over_partitions(self, partitions):
+        """Hands quota partitions over; returns True on success, False on failure, None if unknown."""
+        new = self.term.assign_partitions(partitions)
         try:
             await self._write_term(new)
-        except (Unavailable, Conflict):
+        except (UnavailableError, ConflictError):
             return False
-        except Unsure:
+        except UnknownOutcomeError:
             return None
-        log.info("handed on slots of wardens: %s", slots)
+        log.info("handed over quota partitions: %s", partitions)
         return True
 
     async def move(self, moves):
-        """Gives shares away ({share: label}): whether it is so is told by the next term.
+        """Gives shards away ({shard: label}); the next term shows whether it succeeded.
 
-        Asked for again as long as the term is the same, it is the same transaction: one of them takes
-        effect at most, however late.
+        Repeated under the same term, it is the same transaction, of which at most one takes effect, however
+        late.
         """
         new = self.term.move(moves, self.label)
         if new is self.term:
             return
-        self._offered.update(moves)
+        self._shards_offered.update(moves)
         try:
             await self._write_term(new)
-        except (Unavailable, Conflict, Unsure) as error:
-            log.debug("move of shares: %r", error)
+        except (UnavailableError, ConflictError, UnknownOutcomeError) as error:
+            log.debug("moving shards: %r", error)
 
     async def leave(self):
-        """Gives up what this member holds, first its shares, so that it can hand them over, then its place:
-        its jobs fall to heirs at once. Returns once it is out, or if there is nobody to give it to."""
-        self._ending = True
-        while self.joined and (others := self.term.homes - {self.label}):
-            if moves := self.term.shares.spread({self.label}, others):
+        """Gives up what this member leads and owns.
+
+        First the shards, so that it can hand their machines over, then its membership, after which successors
+        take over its jobs at once. Returns once it is out, or if there is no other member to give them to.
+        """
+        self._leaving = True
+        while self.joined and (others := self.term.leaders - {self.label}):
+            if moves := self.term.shard_map.redistribute({self.label}, others):
                 await self.move(moves)
-                if self.term.held(self.label):
+                if self.term.shards_of(self.label):
                     await self._loop.sleep(self._lease_s / 24)
                     continue
             new = self.term.drop({self.label})
-            log.info("leaving: term %d", new.number)
+            log.info("leaving, by term %d", new.number)
             try:
                 await self._write_term(new, writes=[{"drop": MEMBER + self.label}])
-            except (Unavailable, Conflict, Unsure) as error:
+            except (UnavailableError, ConflictError, UnknownOutcomeError) as error:
                 log.debug("leaving: %r", error)
                 await self._loop.sleep(self._lease_s / 24)
 
     async def _amend_term(self):
+        """Writes requested amendments of the term, several at once if there are."""
         while True:
-            await self._amend.wait()
+            await self._amendment_wanted.wait()
             amendments, self._amendments = self._amendments, []
             new = self.term
-            for how, *which in amendments:
-                new = getattr(new, how)(*which)
+            for method, *arguments in amendments:
+                new = getattr(new, method)(*arguments)
             if new is self.term:
                 continue
             log.info("amending the term: %s", amendments)
             try:
                 await self._write_term(new)
-            except (Unavailable, Unsure, Conflict) as error:
+            except (UnavailableError, UnknownOutcomeError, ConflictError) as error:
                 log.debug("amendment: %r", error)
-                for amendment in amendments:  # wanted again soon, if it still is
+                for amendment in amendments:  # may be requested again soon
                     self._not_before[amendment] = self._loop.now() + self._lease_s / 12
--- a/roadhead/membership/peers.py
+++ b/roadhead/membership/peers.py
@@ -1,65 +1,84 @@
-"""Links between controllers: one connection a pair, dialled by the smaller label.
+"""Links between controllers: one connection for each pair, dialled by the smaller label.
 
-A controller that is no member, but has read the state service since it started, is linked too: its beats tell
-that it serves nobody (membership/touch.py).
+A controller that is no member, but has read the state service since it started, is linked too: its heartbeats
+tell the others that it serves nobody (membership/cancellation_freshness.py).
 """
 
 import logging
 
-from roadhead.membership.touch import SILENT_BEATS
+from roadhead.membership.cancellation_freshness import SILENT_HEARTBEATS
 from roadhead.runtime.loop import Cancelled, Timeout
 from roadhead.runtime.net import Closed
-from roadhead.wire.frames import BadFrame, Beat, Hello, Splitter
+from roadhead.wire.frames import FrameDecoder, FrameError, Heartbeat, Hello
 
 log = logging.getLogger("roadhead.peers")
 
 
 class Link:
-    """`heard_at` tells silence; `spoke_at` is when the last beat came: what the other side knew when it
-    sent that was on the link before it."""
-
-    __slots__ = ("deaf", "heard_at", "incarnation", "spoke_at", "state_ok", "stream", "term", "used")
+    """A connection to another controller, and what its last heartbeat told.
+
+    `heard_at`: when the last frame came. `last_heartbeat_at`: when the last heartbeat came; whatever the
+    other side knew when it sent that was on the link before it.
+    """
+
+    __slots__ = (
+        "heard_at",
+        "incarnation",
+        "last_heartbeat_at",
+        "state_ok",
+        "stream",
+        "term",
+        "used",
+        "workers_silent",
+    )
 
     def __init__(self, stream, incarnation, now):
         self.stream = stream
         self.incarnation = incarnation
         self.heard_at = now
-        self.spoke_at = -1e9
-        self.term = 0  # number of the term served there
+        self.last_heartbeat_at = -1e9
+        self.term = 0  # number of the term that the other side serves
         self.state_ok = True
-        self.deaf = False
-        self.used = None  # (requests, writes) of the state service a second, once told
+        self.workers_silent = False
+        self.used = None  # (requests, writes) per second to the state service, None before it was told
 
 
 class Peers:
-    """`on_frame(label, incarnation, frame)`, `on_up(label)`, `on_down(label)`.
+    """The links to all other configured controllers.
 
-    `links` are those of members, `outside` those of controllers that are none; `speaks()`: whether this one
-    may have links at all."""
+    `links` has those of members by label, `non_member_links` those of controllers that are no members.
+    `may_link()` tells whether this controller may have links now. Callbacks: `on_frame(label, incarnation,
+    frame)`; `on_up(label)` for each new link, before its first heartbeat; `on_down(label)` when a member's
+    link ends.
+    """
 
-    def __init__(self, loop, net, settings, beat_s, me, speaks, beat, on_frame, on_up, on_down):
+    def __init__(
+        self, loop, net, settings, heartbeat_s, own_incarnation, may_link, heartbeat, on_frame, on_up, on_down
+    ):
         self._loop = loop
         self._net = net
         self.label = settings.label
         self._addresses = {member.label: member.endpoint for member in settings.members}
         self._listen_on = settings.internal_addr
-        self._beat_s = beat_s
-        self._me = me  # () -> own incarnation, 0 if it is no member
-        self._speaks = speaks
-        self._beat = beat  # () -> Beat
+        self._heartbeat_s = heartbeat_s
+        # () -> this controller's incarnation, 0 while it is no member
+        self._own_incarnation = own_incarnation
+        self._may_link = may_link
+        self._heartbeat = heartbeat  # () -> Heartbeat
         self._on_frame = on_frame
         self._on_up = on_up
         self._on_down = on_down
         self.links = {}
-        self.outside = {}
+        self.non_member_links = {}
         self._accepted = 0
 
     def start(self):
+        """Listens for links, dials those of larger labels, and sends heartbeats."""
         self._net.listen(self._listen_on, self._accept)
         for label in self._addresses:
             if self.label < label:
                 self._loop.spawn(self._dial(label), f"dial {label}")
-        self._loop.spawn(self._beats(), "beats")
+        self._loop.spawn(self._send_heartbeats(), "beats")
 
     def _accept(self, stream):
         if self._accepted > 8 * (len(self._addresses) + 1):
@@ -69,7 +88,7 @@
 
         async def serve():
             try:
-                await self._talk(stream, None)
+                await self._serve_link(stream, None)
             finally:
                 self._accepted -= 1
 
@@ -77,23 +96,23 @@
 
     async def _dial(self, label):
         while True:
-            if self._speaks():
+            if self._may_link():
                 try:
-                    stream = await self._net.connect(self._addresses[label], 2 * self._beat_s)
-                    await self._talk(stream, label)
+                    stream = await self._net.connect(self._addresses[label], 2 * self._heartbeat_s)
+                    await self._serve_link(stream, label)
                 except (Closed, Timeout):
                     pass
-            await self._loop.sleep(self._beat_s / 2)
+            await self._loop.sleep(self._heartbeat_s / 2)
 
-    async def _talk(self, stream, expected):
-        """One connection, both ways, until it ends."""
-        splitter = Splitter()
+    async def _serve_link(self, stream, expected):
+        """Exchanges frames over one connection until it ends; `expected`: the label dialled, or None."""
+        splitter = FrameDecoder()
         link = label = None
-        timer = self._loop.call_later(4 * self._beat_s, stream.close)
+        timer = self._loop.call_later(4 * self._heartbeat_s, stream.close)
         try:
-            if not self._speaks():
+            if not self._may_link():
                 return
-            mine = self._me()
+            mine = self._own_incarnation()
             stream.write(Hello(self.label, mine).encode())
             while True:
                 data = await stream.read()
@@ -103,30 +122,30 @@
                 for frame in splitter.frames():
                     if link is None:
                         if type(frame) is not Hello or frame.label not in self._addresses:
-                            raise BadFrame("no hello")
+                            raise FrameError("no hello")
                         label = frame.label
-                        if (expected or label) != label or mine != self._me():
+                        if (expected or label) != label or mine != self._own_incarnation():
                             return
                         timer.cancel()
-                        self._drop(label, self.links.get(label) or self.outside.get(label))
+                        self._drop(label, self.links.get(label) or self.non_member_links.get(label))
                         link = Link(stream, frame.incarnation, self._loop.now())
-                        (self.links if link.incarnation else self.outside)[label] = link
-                        # Before the first beat: who hears that relies on having been told all.
+                        (self.links if link.incarnation else self.non_member_links)[label] = link
+                        # Before the first heartbeat, whose receiver relies on having been told all before it.
                         self._on_up(label)
-                        stream.write(self._beat().encode())
+                        stream.write(self._heartbeat().encode())
                         continue
                     link.heard_at = self._loop.now()
-                    if type(frame) is Beat:
+                    if type(frame) is Heartbeat:
                         if not self._loop.catching_up:
-                            link.spoke_at = link.heard_at
+                            link.last_heartbeat_at = link.heard_at
                         link.term = frame.term
                         link.state_ok = frame.state_ok
-                        link.deaf = frame.deaf
+                        link.workers_silent = frame.workers_silent
                         link.used = (frame.requests, frame.writes)
                     self._on_frame(label, link.incarnation, frame)
-                    if not self._is_up(label, link):
+                    if not self._is_current(label, link):
                         return
-        except BadFrame as error:
+        except FrameError as error:
             log.info("peer %s: %s", label or "unknown", error)
         except (Closed, Cancelled):
             pass
@@ -135,32 +154,32 @@
             stream.close()
             self._drop(label, link)
 
-    def _is_up(self, label, link):
-        return link is not None and link in (self.links.get(label), self.outside.get(label))
+    def _is_current(self, label, link):
+        return link is not None and link in (self.links.get(label), self.non_member_links.get(label))
 
     def _drop(self, label, link):
-        if not self._is_up(label, link):
+        if not self._is_current(label, link):
             return
         link.stream.close()
-        if self.outside.get(label) is link:
-            del self.outside[label]
+        if self.non_member_links.get(label) is link:
+            del self.non_member_links[label]
         else:
             del self.links[label]
             self._on_down(label)
 
-    async def _beats(self):
+    async def _send_heartbeats(self):
         while True:
-            await self._loop.sleep(self._beat_s)
-            limit = self._loop.now() - SILENT_BEATS * self._beat_s
-            for label, link in [*self.links.items(), *self.outside.items()]:
+            await self._loop.sleep(self._heartbeat_s)
+            limit = self._loop.now() - SILENT_HEARTBEATS * self._heartbeat_s
+            for label, link in [*self.links.items(), *self.non_member_links.items()]:
                 if link.heard_at < limit:
-                    log.info("peer %s is silent", label)
+                    log.info("peer %s closed: it was silent for too long", label)
                     self._drop(label, link)
                 else:
-                    self._write(label, link, self._beat())
+                    self._write(label, link, self._heartbeat())
 
     def send(self, label, frame):
-        """True if the frame was handed to the link; False if there is none."""
+        """Sends a frame to a member; False if there is no link to it."""
         link = self.links.get(label)
         return link is not None and self._write(label, link, frame)
 
@@ -172,12 +191,12 @@
             return False
         return True
 
-    def excuse(self):
-        """After a stall: nobody was silent in time in which we were not looking."""
-        for link in (*self.links.values(), *self.outside.values()):
+    def reset_silence(self):
+        """Restarts the silence of all links after a stall, in which this process could hear nobody."""
+        for link in (*self.links.values(), *self.non_member_links.values()):
             link.heard_at = self._loop.now()
 
     def reset(self):
-        """Ends every link, since this process's incarnation changed."""
-        for label, link in [*self.links.items(), *self.outside.items()]:
+        """Closes all links, as this process's incarnation has changed."""
+        for label, link in [*self.links.items(), *self.non_member_links.items()]:
             self._drop(label, link)
--- a/roadhead/node.py
+++ b/roadhead/node.py
@@ -1,61 +1,76 @@
-"""One controller: puts the parts together and passes what happens from one to another."""
+"""One controller: creates its components, connects them, and passes events from one to another."""
 
 import logging
 import random
 import time
 from functools import partial
 
-from roadhead.admission.feasibility import why_never
-from roadhead.admission.sockets import Sockets
+from roadhead.admission.feasibility import infeasibility
+from roadhead.admission.socket_budget import SocketBudget
 from roadhead.api.answers import Cause, RefusedError, refusal_events
 from roadhead.api.server import Api
 from roadhead.cloud.client import CloudClient
 from roadhead.decision_log import DecisionLog
-from roadhead.dispatch.aims import class_aims, shortest_aims
 from roadhead.dispatch.dispatcher import Dispatcher
+from roadhead.dispatch.targets import class_targets, shortest_targets
 from roadhead.fleet.fleet import Fleet
-from roadhead.homes.home import SILENT_REPORTS, Home
-from roadhead.homes.spec_lookup import SpecLookup
-from roadhead.homes.workers import Workers
-from roadhead.jobs.book import Book
-from roadhead.jobs.guards import NO_GUARDS
-from roadhead.jobs.job import FORMAT, KEY, SHELF, before, closing_above, shorten
-from roadhead.jobs.quota_spreading import QuotaSpreading
+from roadhead.frame_router import FrameRouter
+from roadhead.jobs.creation_guards import NO_GUARDS
+from roadhead.jobs.deadline_risk import DeadlineTracker
+from roadhead.jobs.job import (
+    ARCHIVE,
+    RECORD_FORMAT,
+    RECORD_PREFIX,
+    awaited_ids,
+    cancelled_with_ancestor_record,
+    for_polls,
+)
+from roadhead.jobs.job_store import JobStore
+from roadhead.jobs.quota_balancer import QuotaBalancer
 from roadhead.jobs.recorder import Recorder
-from roadhead.jobs.records import Shelf, complete, find
-from roadhead.jobs.risk import Risk
+from roadhead.jobs.records import RecordArchiver, complete, find
 from roadhead.jobs.teams import FixedTeams
-from roadhead.membership.authority import Authority, blind_for_s
-from roadhead.membership.gate import Gate
+from roadhead.machines.shard_leader import SILENT_REPORT_INTERVALS, ShardLeader
+from roadhead.machines.spec_lookup import SpecLookup
+from roadhead.machines.worker_client import WorkerClient
+from roadhead.membership.authority import Authority, max_staleness_s
+from roadhead.membership.cancellation_freshness import CANCELLATION_KEPT_FACTOR, KnownCancellations
+from roadhead.membership.format_gate import FormatGate
 from roadhead.membership.member import Member
 from roadhead.membership.peers import Peers
-from roadhead.membership.touch import KEPT, Cancellations
 from roadhead.periodic_duties import PeriodicDuties
 from roadhead.pipelines.ancestry import Ancestry
-from roadhead.pipelines.line import Line
-from roadhead.pipelines.parts import Parts
-from roadhead.recovery.takeover import Takeover
+from roadhead.pipelines.dependency_queue import DependencyQueue
+from roadhead.pipelines.upstream_parts import UpstreamParts
+from roadhead.recovery.failover import JobFailover
 from roadhead.runtime.loop import Timeout
-from roadhead.shares.keeper import Keeper
-from roadhead.state.client import StateClient, Unavailable
-from roadhead.state.reader import Reader
+from roadhead.shards.balancer import ShardBalancer
+from roadhead.state.client import StateClient, UnavailableError
+from roadhead.state.record_reader import RecordReader
 from roadhead.summary import Summary
-from roadhead.switchboard import Switchboard
-from roadhead.telemetry import EVENTS, Counters, Troubles
+from roadhead.telemetry import EVENTS, Counters, TroubleLog
 from roadhead.wire import frames
 from roadhead.wire.messages import JOB_ID
 
 log = logging.getLogger("roadhead.node")
 
-POLL_S = 2.0  # users wait that long for the answer to a poll (PROTOCOL)
-SUBMIT_S = 5.0  # and that long for one to a submission
-POLL_PART = 0.85  # of that passes at the most before they are told that it is not known
-ANSWER_PART = 0.9  # of that may pass before they are told that it is not known
-NEWS_MOST = 500  # jobs in a frame
-CANCELLED_MOST = 20_000  # jobs passed on: beyond that none is told of that was not known before
+POLL_TIMEOUT_S = 2.0  # how long users wait for the answer to a poll (PROTOCOL)
+SUBMIT_TIMEOUT_S = 5.0  # how long users wait for the answer to a submission (PROTOCOL)
+POLL_ANSWER_PART = 0.85  # of the poll's timeout, after which the answer is that the state is unknown
+SUBMIT_ANSWER_PART = 0.9  # of the submission's timeout, after which the answer is that the outcome is unknown
+JOBS_PER_FRAME = 500  # ids in one JobsCancelled frame
+MAX_CANCELLATIONS = 20_000  # cancellations passed on; with more, users can't cancel or confirm older ones
 
 
 class Node:
+    """One controller process.
+
+    It outlives its incarnations: when the other members drop it, it joins again as a new incarnation and
+    rebuilds everything that depends on the membership.
+
+    `hosted`: the TenantAdmissionController where tenants are served, else None.
+    """
+
     def __init__(self, loop, net, settings, tuning, rng=None, time_of_day=time.time, hosted=None):
         self._loop = loop
         self._net = net
@@ -68,8 +83,8 @@
         workers = deployment.workers
         self.counters = Counters({**EVENTS, **refusal_events()})
         self.decisions = DecisionLog(time_of_day, self.counters)
-        self.troubles = Troubles(loop.now, time_of_day)
-        self.desk = hosted  # tenants/desk.py, where tenants are served
+        self.troubles = TroubleLog(loop.now, time_of_day)
+        self.tenant_admission = hosted  # None where no tenants are served
         state_limits = deployment.state if hosted is None else hosted.left_of(deployment.state)
         self.state = StateClient(
             loop, net, settings.external.state, state_limits, deployment.nodes, self._on_lowered
@@ -77,51 +92,55 @@
         self.ancestry = Ancestry(
             loop,
             self.state,
-            lambda job: (record := self.book.finals.get(job)) and record["s"],
-            lambda job, record: self.book.remember(job, record),
+            lambda job: (record := self.job_store.final_records.get(job)) and record["s"],
+            lambda job, record: self.job_store.remember_final(job, record),
             partial(find, self.state),
             partial(complete, self.state),
-            before,
-            closing_above,
-            (KEY, SHELF),
+            awaited_ids,
+            cancelled_with_ancestor_record,
+            (RECORD_PREFIX, ARCHIVE),
         )
-        self.reader = Reader(
+        self.record_reader = RecordReader(
             loop,
             self.state,
-            POLL_PART * POLL_S,
-            (KEY, SHELF),
+            POLL_ANSWER_PART * POLL_TIMEOUT_S,
+            (RECORD_PREFIX, ARCHIVE),
             partial(complete, self.state),
-            shorten,
+            for_polls,
             self.ancestry.derive,
         )
         self.cloud = CloudClient(loop, net, settings.external.cloud, deployment.cloud, deployment.nodes)
-        self.cancellations = Cancellations(KEPT * workers.cancel_s)
-        self._beat_s = workers.lease_s / 12
-        self._partitions = tuning.membership.quota_partitions if hosted is None else hosted.slots
+        self.cancellations = KnownCancellations(CANCELLATION_KEPT_FACTOR * workers.cancel_s)
+        self._heartbeat_s = workers.lease_s / 12
+        self._partition_count = tuning.membership.quota_partitions if hosted is None else hosted.partitions
         self.member = Member(
             loop,
             self.state,
             self.label,
             lease_s=max(0.1, min(600.0, tuning.membership.lease_ratio * workers.lease_s)),
-            watch_s=blind_for_s(workers) / 4,
+            watch_s=max_staleness_s(workers) / 4,
             on_term=self._on_term,
             on_lost=self._on_lost,
             on_cancel=self.on_cancelled,
-            gate=Gate(FORMAT, [self.label, *(member.label for member in settings.members)]),
-            slots=self._partitions,
+            format_gate=FormatGate(
+                RECORD_FORMAT, [self.label, *(member.label for member in settings.members)]
+            ),
+            partitions=self._partition_count,
             on_tenant=None if hosted is None else hosted.table.take,
             time_of_day=time_of_day,
         )
-        self._switchboard = Switchboard(self.member, self.send, self.on_cancelled, self.state.lower)
+        self._frame_router = FrameRouter(
+            self.member, self.send, self.on_cancelled, self.state.apply_lower_limits
+        )
         self.peers = Peers(
             loop,
             net,
             settings,
-            self._beat_s,
-            me=lambda: self.member.incarnation,
-            speaks=self._speaks,
-            beat=self._beat,
-            on_frame=self._switchboard.on_frame,
+            self._heartbeat_s,
+            own_incarnation=lambda: self.member.incarnation,
+            may_link=self._may_send_heartbeats,
+            heartbeat=self._heartbeat,
+            on_frame=self._frame_router.on_frame,
             on_up=self._on_up,
             on_down=self._on_down,
         )
@@ -131,35 +150,37 @@
             self.peers,
             [other.label for other in settings.members],
             workers,
-            self._beat_s,
+            self._heartbeat_s,
         )
-        self._default_aim_s = 15 * workers.lease_s
-        self.aims = shortest_aims(deployment.objectives)
-        self._class_aims = class_aims(deployment.objectives)
-        self._sockets = Sockets(deployment.quota.fd_limit, self.counters.add)
-        create_s = min(workers.lease_s / 3, ANSWER_PART * SUBMIT_S)
-        self._create_s = create_s
+        self._default_target_s = 15 * workers.lease_s
+        self.shortest_targets = shortest_targets(deployment.objectives)
+        self._class_targets = class_targets(deployment.objectives)
+        self._sockets = SocketBudget(deployment.quota.fd_limit, self.counters.add)
+        creation_timeout_s = min(workers.lease_s / 3, SUBMIT_ANSWER_PART * SUBMIT_TIMEOUT_S)
+        self._creation_timeout_s = creation_timeout_s
         self.teams = FixedTeams(deployment.teams) if hosted is None else hosted.teams
         self.api = Api(
             loop,
             self,
             sockets=self._sockets,
-            create_s=create_s,
+            create_s=creation_timeout_s,
             patience_s=workers.lease_s / 1.2,
         )
-        self.risk = Risk(self.aims, sorted({objective.klass for objective in deployment.objectives}))
-        self._began_at = self._outside_since = loop.now()
-        self.takeover = Takeover(
+        self.deadline_tracker = DeadlineTracker(
+            self.shortest_targets, sorted({objective.klass for objective in deployment.objectives})
+        )
+        self._started_at = self._not_member_since = loop.now()
+        self.failover = JobFailover(
             loop,
             self.state,
             self.member,
             self.teams,
             self.send,
             self._changed,
-            self._beat_s,
+            self._heartbeat_s,
             workers.cancel_s,
         )
-        self.keeper = Keeper(
+        self.shard_balancer = ShardBalancer(
             loop,
             self.label,
             self.member,
@@ -170,194 +191,197 @@
         self._summary = Summary(
             loop,
             settings,
-            self._beat_s,
+            self._heartbeat_s,
             self.member,
             self.peers.links,
-            self._state_ok,
-            self.risk,
+            self._is_state_ok,
+            self.deadline_tracker,
             self.troubles,
             self.counters,
             time_of_day,
-            lambda: self.keeper.changes,
+            lambda: self.shard_balancer.changes,
         )
         self._leaving = False
-        self._periodic = PeriodicDuties(loop, self, self._beat_s, workers.cancel_s, self._random)
+        self._periodic_duties = PeriodicDuties(loop, self, self._heartbeat_s, workers.cancel_s, self._random)
         self.workers = None
         self._duties = []
-        self._spec_lookup = SpecLookup(loop, self.state, self._beat_s)
+        self._spec_lookup = SpecLookup(loop, self.state, self._heartbeat_s)
         self._reset()
 
     def _reset(self):
-        """Everything that an incarnation knows starts from nothing."""
+        """Replaces all components whose state belongs to one incarnation by empty ones."""
         loop, deployment = self._loop, self._deployment
         for duty in self._duties:
             duty.cancel()
-        if hasattr(self, "book"):
-            for creation in self.book.pending().values():
-                creation.fail(RefusedError(Cause.NOT_A_MEMBER))  # nobody here would learn of its outcome
+        if hasattr(self, "job_store"):
+            for creation in self.job_store.pending().values():
+                creation.fail(RefusedError(Cause.NOT_A_MEMBER))  # its outcome would not be noticed here
         workers = deployment.workers
         if self.workers is not None:
             self.workers.close()
-        self.workers = Workers(
+        self.workers = WorkerClient(
             loop,
             self._net,
             self.member,
             timeout_s=workers.lease_s / 4,
-            may_command=self.authority.may_renew,
-            silent_s=SILENT_REPORTS * workers.report_s,
+            may_command=self.authority.can_renew_leases,
+            silent_s=SILENT_REPORT_INTERVALS * workers.report_s,
             sockets=self._sockets,
             decisions=self.decisions,
         )
         types = self.fleet.types if hasattr(self, "fleet") else {}
-        self.home = Home(
+        self.shard_leader = ShardLeader(
             loop,
             self.label,
             self.member,
             deployment,
-            lapse_s=self._tuning.grants.lapse_ratio * workers.lease_s,
+            grant_lifetime_s=self._tuning.grants.lapse_ratio * workers.lease_s,
             random=self._random,
             send=self.send,
-            ask=self.workers.ask,
+            ask=self.workers.queue_request,
             need_spec=self._spec_lookup.need,
             counters=self.counters,
             decisions=self.decisions,
         )
-        self.home.known.types = types
-        self.workers.home = self.home
+        self.shard_leader.registry.types = types
+        self.workers.shard_leader = self.shard_leader
 
-        self.shelf = Shelf(loop, self.state, self.member, self.counters)
+        self.archiver = RecordArchiver(loop, self.state, self.member, self.counters)
 
-        def recorder_of(*told):
+        def make_recorder(*frames_to_send):
             return Recorder(
                 loop,
                 self.state,
                 workers.report_s * 2,
-                *told,
+                *frames_to_send,
                 self.member,
-                self.desk or NO_GUARDS,
+                self.tenant_admission or NO_GUARDS,
                 self.counters,
             )
 
-        parts = Parts(loop, self.state, self.member, self._time_of_day, workers.lease_s)
+        parts = UpstreamParts(loop, self.state, self.member, self._time_of_day, workers.lease_s)
 
-        def line_of(book):
-            times = {name: aims.times for name, aims in self._class_aims.items()}
-            return Line(
+        def make_dependency_queue(job_store):
+            times = {name: targets.deadline_factors for name, targets in self._class_targets.items()}
+            return DependencyQueue(
                 loop,
                 self.member,
                 self.state,
-                book,
+                job_store,
                 self.send,
                 times,
                 self._time_of_day,
                 workers.lease_s,
-                self._beat_s,
+                self._heartbeat_s,
                 partial(find, self.state),
                 self.counters,
             )
 
-        self.book = Book(
+        self.job_store = JobStore(
             loop,
             self.member,
-            recorder_of,
+            make_recorder,
             self.send,
             self._changed,
             self.counters,
             self._time_of_day,
             workers.lease_s,
-            self.risk.finished,
+            self.deadline_tracker.finished,
             self.teams,
-            self.takeover.on_accepted,
-            self.shelf.add,
-            line_of,
+            self.failover.on_accepted,
+            self.archiver.add,
+            make_dependency_queue,
             parts,
         )
         self.dispatcher = Dispatcher(
             loop,
             self.label,
             self.member,
-            self.book,
-            self._class_aims,
+            self.job_store,
+            self._class_targets,
             self._random,
             self.send,
             self.counters,
             gap_s=workers.report_s / 8,
             window_s=workers.lease_s,
-            default_aim_s=self._default_aim_s,
+            default_target_s=self._default_target_s,
         )
-        self.home.rooms.window_s = workers.lease_s
+        self.shard_leader.capacity_granter.window_s = workers.lease_s
         self.dispatcher.queue.time_of_day = self._time_of_day
         self.fleet = Fleet(
             loop,
             self.cloud,
             self.member,
-            self.home,
+            self.shard_leader,
             deployment,
             self._tuning.fleet,
-            self.aims,
-            self._default_aim_s,
+            self.shortest_targets,
+            self._default_target_s,
             self._random,
             self.counters,
         )
         self.fleet.types = types
-        self.fleet.on_types = self.api.readiness.changed
+        self.fleet.on_types = self.api.readiness.wake_waiting
         self.dispatcher.queue.capacity = self.fleet.capacity
-        if self.desk is not None:
-            self.desk.share(self)
-        self._spec_lookup.begin(self.home)
-        self.takeover.begin(self.book, self.shelf)
-        self._summary.begin(self.book, self.home, self.dispatcher, self.fleet)
-        self._switchboard.begin(
-            self.home,
-            self.book,
+        if self.tenant_admission is not None:
+            self.tenant_admission.begin_fair_sharing(self)
+        self._spec_lookup.begin(self.shard_leader)
+        self.failover.begin(self.job_store, self.archiver)
+        self._summary.begin(self.job_store, self.shard_leader, self.dispatcher, self.fleet)
+        self._frame_router.begin(
+            self.shard_leader,
+            self.job_store,
             self.dispatcher,
             self.fleet,
-            self.takeover,
+            self.failover,
             self._summary,
-            self.desk.handlers() if self.desk is not None else {},
+            self.tenant_admission.handlers() if self.tenant_admission is not None else {},
         )
-        recorder = self.book.recorder
+        recorder = self.job_store.recorder
         duties = [
             recorder.run,
             recorder.check,
-            self.shelf.run,
-            self.book.line.look,
+            self.archiver.run,
+            self.job_store.dependency_queue.poll_upstream,
             parts.collect,
-            self._periodic.run,
+            self._periodic_duties.run,
             *self.fleet.duties(),
         ]
-        if self._partitions > 1:
-            duties.append(QuotaSpreading(loop, self.member, self.book, workers.lease_s / 4).run)
-        if self.desk is not None:
-            duties += self.desk.begin(self)
-        self._duties = [loop.spawn(self._keep(duty), duty.__name__) for duty in duties]
-
-    async def _keep(self, duty):
-        """A long-lived duty goes on after a fault in it: the service must not lose it."""
+        if self._partition_count > 1:
+            duties.append(QuotaBalancer(loop, self.member, self.job_store, workers.lease_s / 4).run)
+        if self.tenant_admission is not None:
+            duties += self.tenant_admission.begin(self)
+        self._duties = [loop.spawn(self._run_forever(duty), duty.__name__) for duty in duties]
+
+    async def _run_forever(self, duty):
+        """Runs a duty for ever, and restarts it after an exception: the service must not lose it."""
         while True:
             try:
                 await duty()
             except Exception:
                 log.exception("duty %s failed", duty.__name__)
                 self.counters.add("duties_failed")
-            await self._loop.sleep(self._beat_s)
+            await self._loop.sleep(self._heartbeat_s)
 
-    def _stalled(self, seconds):
-        """The process stood still: whoever relied on us may have gone on without us.
+    def _on_stall(self, seconds):
+        """Handles a pause of the process, during which its lease may have ended and others taken over.
 
-        Leases, the term and what we may command are looked at by the clock wherever they are
-        used, so nothing is done on an authority that ran out meanwhile.
+        Leases, the term and the right to command workers are checked against the clock wherever they are
+        used, so nothing is done here on an authority that expired meanwhile.
         """
         log.warning(
-            "stood still for %.1f s%s", seconds, "; the lease may have ended" if self.member.lapsed() else ""
+            "process stalled for %.1f s%s",
+            seconds,
+            "; the lease may have ended" if self.member.lease_may_have_expired() else "",
         )
         self.counters.add("stalls")
         self.troubles.note("stood still", seconds)
-        self.peers.excuse()
-        self.home.awake_at = self._loop.now()
+        self.peers.reset_silence()
+        self.shard_leader.running_since = self._loop.now()
 
     def start(self):
-        for team in self._deployment.teams if self.desk is None else ():
+        """Starts to listen, to connect to the other controllers and to join the membership."""
+        for team in self._deployment.teams if self.tenant_admission is None else ():
             log.info(
                 "team %s: cpus %g to %g, gpus %g to %g (0: no limit)",
                 team.name,
@@ -367,232 +391,260 @@
                 team.gpus_max,
             )
             if team.guarantee != (team.cpus, team.gpus):
-                log.warning("team %s: the guarantee is above the limit; the limit holds", team.name)
-        self._loop.stall_s, self._loop.on_stall = self._beat_s, self._stalled
+                log.warning("team %s: the guarantee exceeds the limit; the limit applies", team.name)
+        self._loop.stall_s, self._loop.on_stall = self._heartbeat_s, self._on_stall
         self._net.listen(self.settings.front, self.api.accept)
         self.peers.start()
         self._loop.spawn(self.member.run(), "member")
 
     def leave(self, done):
-        """An orderly end: no new work is taken on, what is held goes to others, then `done()` is called,
-        after half a workers' lease at the latest."""
+        """Shuts down gracefully: takes on no new work, hands over machines and jobs, then calls `done()`.
+
+        This takes at most half a workers' lease.
+        """
         if not self._leaving:
             self._leaving = True
             self._loop.spawn(self._leave(done), "leave")
 
     async def _leave(self, done):
         lease_s = self._deployment.workers.lease_s
-        log.info("ending in order")
+        log.info("shutting down")
         until = self._loop.now() + lease_s / 8
-        while self.book.recorder.backlog() and self._loop.now() < until:
-            await self._loop.sleep(self._beat_s / 8)
+        while self.job_store.recorder.backlog() and self._loop.now() < until:
+            await self._loop.sleep(self._heartbeat_s / 8)
         try:
             await self._loop.within(lease_s / 4, self._loop.spawn(self.member.leave(), "give up").done)
         except Timeout:
-            log.warning("not all could be given away; the others take it when the lease ends")
-        await self._loop.sleep(self._beat_s / 4)  # what was handed over leaves the sockets
+            log.warning("handover incomplete; the other members take over the rest when the lease ends")
+        await self._loop.sleep(self._heartbeat_s / 4)  # lets the frames of the handover leave the sockets
         done()
 
-    # What the parts ask of one another
+    # Calls between components
 
     def _changed(self):
-        self.dispatcher.changed()
+        self.dispatcher.schedule_placement()
 
     def send(self, label, frame):
+        """Sends a frame to a controller, this one included; returns False if it has no link."""
         if label == self.label:
-            self._loop.call_soon(self._switchboard.on_frame, label, self.member.incarnation, frame)
+            self._loop.call_soon(self._frame_router.on_frame, label, self.member.incarnation, frame)
             return True
         return self.peers.send(label, frame)
 
-    def _beat(self):
+    def _heartbeat(self):
         term = self.member.term
-        return frames.Beat(
-            term.number if term else 0, self._state_ok(), self.home.deaf(), *self._periodic.used
+        return frames.Heartbeat(
+            term.number if term else 0,
+            self._is_state_ok(),
+            self.shard_leader.most_workers_silent(),
+            *self._periodic_duties.used,
         )
 
-    def home_of(self, report):
-        """The home's label for a worker that asks here, or None if it would not get through.
+    def leader_for(self, report):
+        """Returns the label of the leader of a worker's shard, or None if the worker would not reach it.
 
-        A worker sent to a controller that is silent waits there for 4 s, a third of a
-        lease; without a name it asks the next one after 1 s. If its home is well but hears
-        hardly any worker, the network between them is cut: then others shall be their homes.
+        A worker sent to a silent controller waits there for 4 s, a third of a lease; without a label it asks
+        the next controller after 1 s. If the leader is alive but hears hardly any worker, the network
+        between it and the workers is cut, and it is relieved: others take over its shards.
         """
-        home = self.member.term.home(report.machine)
-        if home == self.label:
-            return home
-        link = self.peers.links.get(home)
+        leader = self.member.term.leader_of(report.machine)
+        if leader == self.label:
+            return leader
+        link = self.peers.links.get(leader)
         if link is None:
             return None
-        if link.deaf:
-            if report.token:  # it was in touch with its home before
-                self.member.relieve(home)
+        if link.workers_silent:
+            if report.token:  # the worker has been in touch with its leader before
+                self.member.relieve(leader)
             return None
-        return home
+        return leader
 
-    def _state_ok(self):
+    def _is_state_ok(self):
         return self._loop.now() - self.state.ok_at < self.member._lease_s / 2
 
-    def _speaks(self):
-        """Whether others may hear this controller: a member, or one that surely is none for a while yet, and
-        knows what those before it under its label have told."""
+    def _may_send_heartbeats(self):
+        """Whether this controller may send heartbeats.
+
+        That holds for a member, and for a non-member that stays one for a while yet and that has read what
+        earlier incarnations of its label have told users.
+        """
         if self.member.joined:
             return True
-        since_s = self._loop.now() - self._outside_since
-        return self.member.watched_at >= self._began_at and since_s > 2 * self._beat_s
+        since_s = self._loop.now() - self._not_member_since
+        return self.member.watched_at >= self._started_at and since_s > 2 * self._heartbeat_s
 
     def ready(self):
-        """Ready unless others can do better: the state service answers them and not us, or the
-        cloud has had time to name its machines and has not.
+        """Whether this controller reports itself as ready.
+
+        It is not while it ends or is too old for the stored records, while it has had no catalogue for longer
+        than the cloud's list lag, and while the state service answers others but not this controller.
 
-        Joining takes less time than the balancer takes to trust a node again, and each further
-        removal doubles that: a `/ready` that waits, or flaps while a member joins anew, costs
-        more than the few submissions that are answered 503 meanwhile. Polls need no member.
+        It stays ready while it joins: joining takes less time than the load balancer takes to trust a node
+        again, and each further removal doubles that time. A `/ready` that waits, or flaps when a member
+        joins again, costs more than the few submissions that are answered 503 meanwhile. Polls are answered
+        without membership.
         """
-        since_s = self._loop.now() - self._began_at
-        if self._leaving or self.member.gate.outdated:
+        since_s = self._loop.now() - self._started_at
+        if self._leaving or self.member.format_gate.is_outdated:
             return False
-        if not self.home.known.types and since_s > self._deployment.cloud.list_lag_s:
+        if not self.shard_leader.registry.types and since_s > self._deployment.cloud.list_lag_s:
             return False
-        return self._state_ok() or not self._others_do_better()
+        return self._is_state_ok() or not self._others_are_better_off()
 
-    def _others_do_better(self):
+    def _others_are_better_off(self):
         """Whether the state service, which does not answer here, seems to answer others.
 
-        While it is down for all, controllers hear one another, but for those that have not reached it since
-        they started. One that did, and hears nobody, member or not, is cut off itself. A load balancer would
-        favour it as long as it is ready, since it refuses users at once.
+        While it is down for all, the controllers still hear one another, except those that have not reached
+        it since they started. A controller that has reached it and now hears nobody, member or not, is cut
+        off itself. If it stayed ready, a load balancer would favour it, since it refuses users at once.
         """
-        if self.peers.links or self.peers.outside or not self.settings.members:
+        if self.peers.links or self.peers.non_member_links or not self.settings.members:
             return any(link.state_ok for link in self.peers.links.values())
-        return self.state.ok_at >= self._began_at
+        return self.state.ok_at >= self._started_at
+
+    def infeasibility_of(self, spec):
+        """Returns why no machine can ever run the job, or None if one can."""
+        return infeasibility(
+            spec, self.teams, self.shard_leader.registry.types, self.state.limits.value_bytes
+        )
 
-    def impossible(self, spec):
-        """Why no machine can ever run the job, or None."""
-        return why_never(spec, self.teams, self.home.known.types, self.state.limits.value_bytes)
+    def visibility_check(self, spec):
+        """Returns a function of a job id: whether the submitter of `spec` may learn of that job.
 
-    def own(self, spec):
-        """Whether whoever submits the job may know of another: a tenant knows of its own alone."""
-        return (lambda _job: True) if self.desk is None else self.desk.neighbours(spec.id)
+        A tenant may learn of its own jobs only.
+        """
+        return (
+            (lambda _job: True)
+            if self.tenant_admission is None
+            else self.tenant_admission.same_tenant_check(spec.id)
+        )
 
     @property
     def leaving(self):
-        """Whether this process ends in order, and takes on nothing new."""
+        """Whether this process is shutting down and takes on nothing new."""
         return self._leaving
 
     @property
-    def most_creating(self):
-        """Creations that can be written while their users wait; more are turned away at once."""
+    def max_creations(self):
+        """How many creations can be written while their users wait; further ones are refused at once."""
         if self._leaving:
             return -1
-        return max(1, int(self._create_s * self.state.writes.rate))
+        return max(1, int(self._creation_timeout_s * self.state.writes.rate))
 
     async def read(self, job_id):
-        """A job's record for a user, or None; turned away if duties need the state service more.
+        """Returns a job's record for a user, or None if there is none.
 
-        A final record that became known here while it was read is newer than what the read found.
+        Raises UnavailableError if the controller's own duties leave no requests to the state service for it.
+        A final record that became known here during the read is newer than the one that the read found.
         """
-        record = await self.reader.read(job_id)
-        return self.book.finals.get(job_id) or record
+        record = await self.record_reader.read(job_id)
+        return self.job_store.final_records.get(job_id) or record
 
-    def cancelled(self, jobs):
-        """Jobs that a user is about to be told to be cancelled: every home that can be reached has word of
-        it first, and those that can't will not hear from us before they have (membership/touch.py)."""
+    def announce_cancelled(self, jobs):
+        """Passes on cancellations of which a user is about to be told.
+
+        Every shard leader that can be reached is told first. One that can't be reached gets no heartbeat from
+        this controller before it has been told (membership/cancellation_freshness.py). Raises
+        UnavailableError if that can't be ensured.
+        """
         if not self.member.joined:
-            # Nobody counts on hearing from us, so somebody's tasks might run on without our telling.
-            raise Unavailable("no member: what is told here would not be known")
-        if len(self.cancellations) >= CANCELLED_MOST and not all(map(self.cancellations.knows, jobs)):
-            raise Unavailable("more old cancellations are asked for than can be passed on")
-        self._learn_cancelled(jobs)
-        self.home.commanding.cancel(jobs)
+            # The others don't wait for heartbeats of a non-member, so tasks could run on without a warning.
+            raise UnavailableError("not a member: the other controllers would not learn of the cancellation")
+        if len(self.cancellations) >= MAX_CANCELLATIONS and not all(map(self.cancellations.contains, jobs)):
+            raise UnavailableError(f"more than {MAX_CANCELLATIONS} recent cancellations to pass on")
+        self._record_cancelled(jobs)
+        self.shard_leader.task_commands.cancel(jobs)
 
     def on_cancelled(self, jobs):
-        """Jobs cancelled through another controller, by its word or by the record."""
+        """Handles jobs cancelled through another controller, as a frame or a record says."""
         jobs = [job for job in jobs if JOB_ID.match(job)]
-        self._learn_cancelled(jobs)
-        self.home.commanding.cancel(jobs)
+        self._record_cancelled(jobs)
+        self.shard_leader.task_commands.cancel(jobs)
         for job in jobs:
-            self.book.cancelled(job)
-        self.book.line.on_cancelled(jobs)
+            self.job_store.cancelled(job)
+        self.job_store.dependency_queue.on_cancelled(jobs)
 
-    def _learn_cancelled(self, jobs):
-        fresh = self.cancellations.learn(jobs, self._loop.now())
-        for label in list(self.peers.links) if fresh else ():
-            self._tell_cancelled(label, fresh)
+    def _record_cancelled(self, jobs):
+        new_jobs = self.cancellations.add_new(jobs, self._loop.now())
+        for label in list(self.peers.links) if new_jobs else ():
+            self._send_cancellations(label, new_jobs)
 
-    def _tell_cancelled(self, label, jobs):
-        for at in range(0, len(jobs), NEWS_MOST):
-            self.send(label, frames.CancelNews(jobs[at : at + NEWS_MOST]))
+    def _send_cancellations(self, label, jobs):
+        for at in range(0, len(jobs), JOBS_PER_FRAME):
+            self.send(label, frames.JobsCancelled(jobs[at : at + JOBS_PER_FRAME]))
 
     def summary(self):
-        return self._summary.whole()
+        """Returns the summary of the whole cluster, for `/v1/summary`."""
+        return self._summary.merged()
 
     def summary_part(self):
-        """This controller's part of the summary, for the others."""
-        return self._summary.part()
+        """Returns this controller's part of the summary, for the others."""
+        return self._summary.local_part()
 
-    def look_for_trouble(self):
-        """Notes what this controller is out of touch with."""
-        self._summary.look_for_trouble(self.member.lapsed())
+    def check_connectivity(self):
+        """Notes what this controller has lost contact with."""
+        self._summary.check_connectivity(self.member.lease_may_have_expired())
 
     def shares(self):
+        """Returns how many shards each leader has and their recent moves, for `/v1/shares`."""
         return self._summary.shares()
 
     # Terms
 
     def _on_lost(self):
-        log.info("starting over as a new incarnation")
-        self._outside_since = self._loop.now()
+        log.info("membership lost; rejoining as a new incarnation")
+        self._not_member_since = self._loop.now()
         self.troubles.note("dropped by the others, and back as a new incarnation")
         self.peers.reset()
         self._reset()
 
     def _on_term(self, old, new):
         for label in list(self.peers.links):
-            self._switchboard.tell_term(label)
+            self._frame_router.send_term(label)
         if old is None:
-            self.api.readiness.changed()
-            # Who is not in the term may live on, and have been home to what is held now until shortly before
-            # the last end here; so may one that is relieved.
-            all_here = all(other.label in new.members for other in self.settings.members)
-            self.home.begin(self.member.replaced and all_here and not new.relieved)
+            self.api.readiness.wake_waiting()
+            # A controller that is not in the term may still run, and may have led shards held here now
+            # until shortly before this one last ended. The same holds for a relieved one.
+            all_members_joined = all(other.label in new.members for other in self.settings.members)
+            self.shard_leader.begin(self.member.replaced and all_members_joined and not new.relieved)
             self.peers.reset()
         else:
             for label in new.members:
                 if label != self.label and old.incarnation(label) not in (None, new.incarnation(label)):
                     self.troubles.note(f"{label} ended and was back")
-            for label, told in self.home.on_term(old, new).items():
-                for frame in told:
+            for label, frames_to_send in self.shard_leader.on_term(old, new).items():
+                for frame in frames_to_send:
                     self.send(label, frame)
-        self.book.quota.on_term(old, new)
-        if self.desk is not None:
-            self.desk.on_term()
+        self.job_store.quota.on_term(old, new)
+        if self.tenant_admission is not None:
+            self.tenant_admission.on_term()
         self.dispatcher.on_term(old, new)
-        self.book.reconciliation.on_term(old, new)
-        self.dispatcher.tell_again()
-        self.takeover.on_term(old, new)
-        self.keeper.on_term(old, new)
+        self.job_store.reconciliation.on_term(old, new)
+        self.dispatcher.rebroadcast_demand()
+        self.failover.on_term(old, new)
+        self.shard_balancer.on_term(old, new)
 
     # Links and frames
 
     def _on_up(self, label):
-        self._tell_cancelled(label, self.cancellations.all())
+        self._send_cancellations(label, self.cancellations.all())
         if not self.member.joined or label not in self.peers.links:
             return
-        self._switchboard.tell_term(label)
-        self.book.reconciliation.ask(label)
-        self.dispatcher.tell_again()
-        self.book.line.look_again()
-        if self.state.lowered and self.member.gate.open:
-            self.send(label, frames.StateLowered(True))
+        self._frame_router.send_term(label)
+        self.job_store.reconciliation.ask(label)
+        self.dispatcher.rebroadcast_demand()
+        self.job_store.dependency_queue.recheck_upstream()
+        if self.state.lowered and self.member.format_gate.is_open:
+            self.send(label, frames.StateLimitsLowered(True))
 
     def _on_down(self, label):
-        self.dispatcher.home_down(label)
-        self.home.rooms.peer_down(label)
+        self.dispatcher.leader_down(label)
+        self.shard_leader.capacity_granter.forget_controller(label)
 
     # Limits of the state service
 
     def _on_lowered(self):
-        """The service refused what it took before: the others need not find out one by one."""
+        """The state service now applies its lower limits: tells the others, to spare them refusals."""
         self.troubles.note("the state service's limits are lower")
-        for label in list(self.peers.links) if self.member.gate.open else ():
-            self.send(label, frames.StateLowered(True))
+        for label in list(self.peers.links) if self.member.format_gate.is_open else ():
+            self.send(label, frames.StateLimitsLowered(True))
--- /dev/null
+++ b/roadhead/shards/__init__.py
@@ -0,0 +1,1 @@
+"""Machine shards: how machines are divided among the controllers."""
--- a/roadhead/shares/hashing.py
+++ b/roadhead/shards/hashing.py
@@ -3,8 +3,8 @@
 from hashlib import blake2b
 
 
-def pick(labels, name):
-    """Rendezvous hash: the label that weighs most for `name`."""
+def rendezvous_choice(labels, name):
+    """The label with the highest hash together with `name`, None without labels."""
     data = name.encode()
     return max(
         labels,
--- a/roadhead/shares/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The machines, parted into shares among the controllers."""
--- a/tests/hunt.py
+++ b/tests/hunt.py
@@ -1,61 +1,66 @@
-"""Hunts broken rules: days of virtual time drawn by chance, with everything failing, of a hosted service,
-of pipelines, of two to four troubles that meet, or of reports and direct answers in any order.
+"""Searches for broken rules by playing random scenarios ("days") with many faults in virtual time.
+
+The days are of a hosted service, of pipelines (`--pipelines`), of two to four overlapping faults
+(`--meetings`), or of reports and answers to direct commands in any order (`--report-orders`).
 
     python3 tests/hunt.py [--pipelines | --meetings | --report-orders] [--days N] [--seed FIRST] [--jobs N]
                           [--show SEED | --explain SEED]
     python3 tests/hunt.py --first-meeting | --leader [--jobs N]
 
-The last two play every order and spacing of the first meeting, and of a leader that is cut from all but its
-workers (docs/meetings.md), and print a table.
+The last two play every order and spacing of the first fault combination, and of a leader that is cut off from
+everything but its workers (docs/meetings.md), and print a table.
 
-Prints the days on which a rule broke, a callback failed, or work that was accepted did not end.
-`--show` prints a day's scenario, to be put under tests/scenarios/ with what it found; `--explain` what the
-controllers decided on the tasks and machines of the first broken rules of a day.
+Prints the days on which a rule broke, a callback failed, or accepted work did not end. `--show` prints a
+day's scenario, which can be added to tests/scenarios/; `--explain` prints the controllers' decisions on the
+tasks and machines of the first broken rules of a day.
 """
 
 import argparse
 import multiprocessing
 
-import conftest  # noqa: F401  finds the libraries
-from drawn_days import drawn, drawn_meetings, drawn_pipelines, drawn_report_orders
+import conftest  # noqa: F401  sets up sys.path
+from drawn_days import random_combination_day, random_hosted_day, random_pipeline_day, random_report_order_day
 from enumerated import (
-    first_meetings,
+    first_combinations,
     leader_cuts,
-    played_first,
-    played_leader,
+    run_first_combination,
+    run_leader_cut,
     table_of_first,
     table_of_leaders,
 )
 
 from roadhead.local.world import World
 
-__all__ = ("first_meetings", "leader_cuts", "played_first", "played_leader")
+__all__ = ("first_combinations", "leader_cuts", "run_first_combination", "run_leader_cut")
 
 
-def played(seed):
-    """(seed, faults) of a day."""
-    world = World(drawn(seed)).run()
+def run_hosted_day(seed):
+    """Plays a day of a hosted service. Returns (seed, faults)."""
+    world = World(random_hosted_day(seed)).run()
     return seed, world.check()
 
 
-def played_meetings(seed):
-    return played_pipelines(seed, drawn_meetings)
+def run_combination_day(seed):
+    return run_pipeline_day(seed, random_combination_day)
+
 
+def run_report_order_day(seed):
+    return run_pipeline_day(seed, random_report_order_day)
 
-def played_report_orders(seed):
-    return played_pipelines(seed, drawn_report_orders)
 
+def run_pipeline_day(seed, draw=random_pipeline_day):
+    """Plays a day of pipelines, or of `draw`. Returns (seed, faults).
 
-def played_pipelines(seed, draw=drawn_pipelines):
-    """(seed, faults) of a day: whatever was accepted ends, as cancelled only with one of its ancestors."""
+    Every accepted job must end, and a job with a cancelled upstream job must not be done.
+    """
     world = World(draw(seed)).run()
     faults = world.check() + [
-        f"{job} is {user.told}"
+        f"{job} is {user.last_state}"
         for job, user in world.users.items()
-        if user.accepted and user.told not in ("done", "cancelled")
+        if user.accepted and user.last_state not in ("done", "cancelled")
     ]
     for job, user in world.users.items():
-        if user.told == "done" and world.cancelled_above(job):
+        if user.last_state == "done" and world.upstream_cancelled_at(job):
             faults.append(f"{job} is done, and one that it needs cancelled")
     if world.state.oversized:
         faults.append(f"{world.state.oversized} writes were too large")
@@ -81,13 +86,13 @@
     if args.leader:
         table_of_leaders(args.jobs)
         return
-    draw, play = drawn, played
+    draw, play = random_hosted_day, run_hosted_day
     if args.meetings:
-        draw, play = drawn_meetings, played_meetings
+        draw, play = random_combination_day, run_combination_day
     elif args.pipelines:
-        draw, play = drawn_pipelines, played_pipelines
+        draw, play = random_pipeline_day, run_pipeline_day
     elif args.report_orders:
-        draw, play = drawn_report_orders, played_report_orders
+        draw, play = random_report_order_day, run_report_order_day
     if args.show is not None:
         print(draw(args.show))
         return
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""The way from the version in production to this one, while both serve on the same records."""
+"""Rolling upgrades from the version in production to this one, while both serve on the same records."""
 
 import os
 import random
@@ -11,12 +11,12 @@
 from roadhead.gateway.types import Submission
 from roadhead.local import cluster as local
 from roadhead.local.world import World
-from roadhead.membership import gate
-from roadhead.membership.gate import BEFORE, Gate, following
+from roadhead.membership import format_gate
+from roadhead.membership.format_gate import FIRST_FORMAT, FormatGate, next_record
 
 
-class Rolled(World):
-    """Controllers in `old` run the version in production when they start next."""
+class UpgradeWorld(World):
+    """A world in which controllers in `old` run the version in production from their next start on."""
 
     def __init__(self, text):
         self.old = {0, 1, 2}
@@ -32,7 +32,10 @@
         super().start(number)
 
     def fronts_for(self, job):
-        """Nothing new is asked of the old version, which would not see the field."""
+        """Returns the controllers to which a user may submit a job.
+
+        A job with `upstream` goes to none of the old version, which would ignore the field.
+        """
         return [
             front
             for number, front in enumerate(self.fronts)
@@ -49,8 +52,9 @@
         super().do(words)
 
     def gate(self):
-        record = self.state.data.get(gate.GATE)
-        return record[0]["format"] if record is not None else BEFORE
+        """Returns the format in force."""
+        record = self.state.data.get(format_gate.GATE)
+        return record[0]["format"] if record is not None else FIRST_FORMAT
 
 
 LIMITS = "next_value_kb 2\nnext_txn_ops 5\nnext_write_rps 15\nwrite_rps 20\nrps 150\nvalue_kb 8\n"
@@ -63,13 +67,14 @@
 
 
 def pipelines(at, first):
+    """Returns the lines of a pipeline submitted at `at`, whose first job has the number `first`."""
     return PIPELINES.format(at=at, first=first, second=first + 1, third=first + 2)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_roll_one_by_one_and_then_pipelines(seed):
-    """Old and new serve side by side; what is new is taken only once the last is new, then at once."""
-    world = Rolled(f"""{LIMITS}
+def test_a_rolling_upgrade_and_then_pipelines(seed):
+    """Both versions serve side by side; the new format is in force only once all are upgraded."""
+    world = UpgradeWorld(f"""{LIMITS}
     seed {seed}
     capacity 8
     at 1 submit count=10 legs=10 runS=15
@@ -87,22 +92,22 @@
     for at in (14.0, 24.0, 34.0, 43.0):
         world.sim.call_at(at, lambda: gates.append(world.gate()))
     world.run()
-    assert world.broken == [] and world.failures.texts == []
-    assert {user.told for user in world.users.values()} == {"done"}
-    assert gates == [BEFORE, BEFORE, BEFORE, 4]
+    assert world.violations == [] and world.failures.texts == []
+    assert {user.last_state for user in world.users.values()} == {"done"}
+    assert gates == [FIRST_FORMAT, FIRST_FORMAT, FIRST_FORMAT, 4]
     assert world.state.oversized == 0 and world.counter("duties_failed") == 0
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_roll_to_several_quota_partitions_and_back(seed):
-    """The version in production leads partitions that the new one made, and the other way round."""
+def test_upgrades_and_downgrades_with_several_quota_partitions(seed):
+    """Each version leads quota partitions that the other has created."""
     crews = ("crew", "crew-2", "crew-3", "crew-4")
     work = "\n".join(
         f"at {at + number / 8} submit crew={crew} legs=14 runS=6"
         for at in (2, 18, 34, 50, 66)
         for number, crew in enumerate(crews)
     )
-    world = Rolled(f"""{LIMITS}
+    world = UpgradeWorld(f"""{LIMITS}
     seed {seed}
     partitions 12
     teams 4
@@ -119,12 +124,12 @@
     expect told done all
     """).run()
     assert world.check() == []
-    assert len(world.nodes[1].member.term.wardens) == 12
+    assert len(world.nodes[1].member.term.quota_leaders) == 12
 
 
-def test_before_the_gate_what_is_new_is_refused_at_once_and_nothing_of_it_is_written():
-    """The last to be replaced is away, not old: it may come back old, so those alive do not count alone."""
-    world = Rolled(f"""{LIMITS}
+def test_new_fields_are_refused_and_not_written_until_all_configured_members_are_upgraded():
+    """The last one is down, not old, but may come back old, so upgrading the live ones doesn't suffice."""
+    world = UpgradeWorld(f"""{LIMITS}
     seed 2
     capacity 6
     at 1 submit count=4 legs=6 runS=10
@@ -135,22 +140,24 @@
     at 80 upgrade 2
     until 250
     """)
-    seen = []
+    observed = []
 
-    def look():
-        seen.append((world.gate(), sum("upstream" in str(value) for value, *_ in world.state.data.values())))
+    def sample():
+        observed.append(
+            (world.gate(), sum("upstream" in str(value) for value, *_ in world.state.data.values()))
+        )
 
     for at in (35.0, 50.0, 70.0):
-        world.sim.call_at(at, look)
+        world.sim.call_at(at, sample)
     world.run()
-    assert seen == [(BEFORE, 0)] * 3
-    assert world.broken == [] and world.failures.texts == []
-    assert {user.told for user in world.users.values()} == {"done"}
+    assert observed == [(FIRST_FORMAT, 0)] * 3
+    assert world.violations == [] and world.failures.texts == []
+    assert {user.last_state for user in world.users.values()} == {"done"}
     assert world.counter("refused_submission_format_gate") > 0 and world.gate() == 4
 
 
-def drawn(seed):
-    """A roll under troubles of all kinds, in any order, with pipelines after it."""
+def random_upgrade(seed):
+    """Returns a random scenario: a rolling upgrade in any order under faults of all kinds, then pipelines."""
     rng = random.Random(seed)
     lines = [
         LIMITS,
@@ -160,15 +167,17 @@
         f"at 1 submit count={rng.randrange(6, 14)} legs=8 runS={rng.choice((6, 20))}",
     ]
     order = rng.sample(range(3), 3)
-    step = rng.choice((0.2, 4, 10, 15))
-    back = rng.choice((0.1, 0.4, 3))
-    for place, number in enumerate(order):
-        lines.append(f"at {20 + place * step} upgrade {number} {back}")
+    gap_s = rng.choice((0.2, 4, 10, 15))
+    downtime_s = rng.choice((0.1, 0.4, 3))
+    for position, number in enumerate(order):
+        lines.append(f"at {20 + position * gap_s} upgrade {number} {downtime_s}")
         if rng.random() < 0.4:
-            lines.append(f"at {20 + place * step + rng.choice((0.3, 2, 5))} crash {rng.randrange(3)} {back}")
-        if rng.random() < 0.2 and place < 2:
-            lines.append(f"at {20 + place * step + 2} downgrade {number} {back}")
-            lines.append(f"at {22 + 3 * step + 8} upgrade {number} {back}")
+            lines.append(
+                f"at {20 + position * gap_s + rng.choice((0.3, 2, 5))} crash {rng.randrange(3)} {downtime_s}"
+            )
+        if rng.random() < 0.2 and position < 2:
+            lines.append(f"at {20 + position * gap_s + 2} downgrade {number} {downtime_s}")
+            lines.append(f"at {22 + 3 * gap_s + 8} upgrade {number} {downtime_s}")
     for _ in range(rng.randrange(1, 4)):
         at, node, length = rng.uniform(15, 60), rng.randrange(3), rng.choice((3, 8, 14))
         lines.append(
@@ -184,23 +193,24 @@
                     f"late-write {length}",
                     f"crash {node} 0.1",
                     "die 1",
-                    f"leave {node} {back}",
+                    f"leave {node} {downtime_s}",
                 )
             )
         )
     lines.append(f"at {rng.uniform(70, 90):.1f} lower")
     number = int(lines[4].split("count=")[1].split()[0])
-    for place, at in enumerate(sorted(rng.choice((30, 66, 80, 100)) for _ in range(3))):
-        lines.append(pipelines(at + place, number + 1 + 4 * place))
+    for position, at in enumerate(sorted(rng.choice((30, 66, 80, 100)) for _ in range(3))):
+        lines.append(pipelines(at + position, number + 1 + 4 * position))
     lines.append(f"at {rng.uniform(104, 125):.1f} cancel {number + 1 + 4 * rng.randrange(3)}")
     for _ in range(2):
-        lines.append(f"at {rng.uniform(80, 140):.1f} crash {rng.randrange(3)} {back}")
+        lines.append(f"at {rng.uniform(80, 140):.1f} crash {rng.randrange(3)} {downtime_s}")
     return "\n".join(lines)
 
 
 def played(seed):
-    world = Rolled(drawn(seed)).run()
-    faults = [*world.broken, *world.failures.texts[:2]]
+    """Plays a random upgrade and returns what went wrong."""
+    world = UpgradeWorld(random_upgrade(seed)).run()
+    faults = [*world.violations, *world.failures.texts[:2]]
     if world.gate() != 4:
         faults.append(f"format {world.gate()} is in force")
     if world.counter("duties_failed"):
@@ -208,20 +218,22 @@
     if world.state.oversized:
         faults.append(f"{world.state.oversized} writes were too large")
     return faults + [
-        f"{job}: {user.told}"
+        f"{job}: {user.last_state}"
         for job, user in world.users.items()
-        if user.accepted and user.told not in ("done", "cancelled")
+        if user.accepted and user.last_state not in ("done", "cancelled")
     ]
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
-def test_a_roll_in_any_order_under_any_trouble(seed):
+def test_a_rolling_upgrade_in_any_order_under_any_faults(seed):
     assert played(seed) == []
 
 
-def test_a_roll_of_real_processes(tmp_path, monkeypatch):
-    """Production's own processes are killed one after the other and come back as this version; what they
-    accepted is done, and a pipeline is taken once all are new. Bounded, not judged by seconds."""
+def test_a_rolling_upgrade_of_real_processes(tmp_path, monkeypatch):
+    """Processes of the production version are killed one by one and restarted as this version.
+
+    The jobs they accepted finish, and a pipeline is accepted once all are upgraded. The time is
+    only bounded."""
     monkeypatch.setenv("PYTHONPATH", os.pathsep.join([str(production.ROOT), *sys.path]))
     cluster = local.Cluster(tmp_path, [str(production.ROOT / "run.py")])
     ours = list(cluster.plan["program"])
@@ -232,11 +244,11 @@
             assert time.monotonic() < deadline, "not within the bound"
             time.sleep(0.1)
 
-    def submit(own, command="true", **fields):
-        cluster.submit(Submission(id=own, team=local.TEAM, klass="c", **fields), ["sh", "-c", command])
+    def submit(job_id, command="true", **fields):
+        cluster.submit(Submission(id=job_id, team=local.TEAM, klass="c", **fields), ["sh", "-c", command])
 
-    def done(own):
-        status, answer = cluster.ask("GET", f"/v1/jobs/{own}")
+    def done(job_id):
+        status, answer = cluster.ask("GET", f"/v1/jobs/{job_id}")
         return status == 200 and answer["status"] == "done"
 
     start = cluster._start
@@ -254,49 +266,49 @@
         for label in cluster.plan["labels"]:
             cluster.crash(label)
             old.discard(label)
-            until(lambda: cluster.mend())
+            until(lambda: cluster.restart_ended())
             cluster._wait_ready()
         assert not old
         submit("first", "sleep 1")
         submit("second", upstream=["first"])
         submit("third", upstream=["first", "second"], due_s=60.0)
-        until(lambda: all(done(own) for own in ("third", *(f"before{number}" for number in range(6)))))
-        with pytest.raises(local.Failed, match=r"upstream: nowhere was never accepted"):
+        until(lambda: all(done(job_id) for job_id in ("third", *(f"before{number}" for number in range(6)))))
+        with pytest.raises(local.ClusterError, match=r"upstream: nowhere was never accepted"):
             submit("fourth", upstream=["nowhere"])
     finally:
         cluster.stop()
 
 
-def test_the_gate_opens_once_every_configured_member_was_seen_new():
+def test_the_format_gate_opens_once_every_configured_member_was_seen_upgraded():
     labels = ["a", "b", "c"]
-    record = following(None, labels, {"a": 4, "b": 3}, 4, 10.0)
-    assert record == {"format": BEFORE, "seen": {"a": [4, 10.0], "b": [3, 10.0]}}
-    assert following(record, labels, {"a": 4, "b": 3}, 4, 11.0) is None
-    record = following(record, labels, {"a": 4, "b": 4}, 4, 12.0)
-    assert record["format"] == BEFORE  # c was never seen, and may come back old
-    old = following(record, labels, {"a": 4, "b": 4, "c": 3}, 4, 13.0)
-    assert old["seen"]["c"] == [3, 13.0] and old["format"] == BEFORE
-    # a was seen new and is away: it comes back as it was seen. One that went back counts as old again.
-    assert following(old, labels, {"b": 4, "c": 4}, 4, 14.0)["format"] == 4
-    assert following(old, labels, {"a": 3, "b": 4, "c": 4}, 4, 14.0)["format"] == BEFORE
-    # Somebody old that the settings do not name is a member all the same.
-    assert following(old, labels, {"a": 4, "b": 4, "c": 4, "d": 3}, 4, 14.0)["format"] == BEFORE
-    assert following({"format": 4, "seen": {}}, labels, {}, 4, 15.0) is None
-
-
-def test_a_version_older_than_what_is_in_force_touches_nothing():
-    """It neither joins nor answers, and says so once."""
+    record = next_record(None, labels, {"a": 4, "b": 3}, 4, 10.0)
+    assert record == {"format": FIRST_FORMAT, "seen": {"a": [4, 10.0], "b": [3, 10.0]}}
+    assert next_record(record, labels, {"a": 4, "b": 3}, 4, 11.0) is None
+    record = next_record(record, labels, {"a": 4, "b": 4}, 4, 12.0)
+    assert record["format"] == FIRST_FORMAT  # c was never seen, so it may still run the old version
+    old = next_record(record, labels, {"a": 4, "b": 4, "c": 3}, 4, 13.0)
+    assert old["seen"]["c"] == [3, 13.0] and old["format"] == FIRST_FORMAT
+    # a was seen upgraded and is down: it counts as last seen. A downgraded member counts as old again.
+    assert next_record(old, labels, {"b": 4, "c": 4}, 4, 14.0)["format"] == 4
+    assert next_record(old, labels, {"a": 3, "b": 4, "c": 4}, 4, 14.0)["format"] == FIRST_FORMAT
+    # An old member that the settings don't name counts too.
+    assert next_record(old, labels, {"a": 4, "b": 4, "c": 4, "d": 3}, 4, 14.0)["format"] == FIRST_FORMAT
+    assert next_record({"format": 4, "seen": {}}, labels, {}, 4, 15.0) is None
+
+
+def test_a_version_older_than_the_format_in_force_changes_nothing():
+    """It neither joins nor answers, and logs that once."""
     world = World("""
     at 1 submit count=2 legs=2 runS=5
     at 40 crash 0
     at 60 submit legs=2 runS=5
     until 120
     """)
-    world.sim.call_at(39.0, lambda: world.state.put(gate.GATE, {"format": 5, "seen": {}}))
+    world.sim.call_at(39.0, lambda: world.state.put(format_gate.GATE, {"format": 5, "seen": {}}))
     before = []
     world.sim.call_at(39.9, lambda: before.append(dict(world.state.data)))
     world.run()
-    assert world.broken == []
+    assert world.violations == []
     node = world.nodes[0]
     assert not node.member.joined and not node.ready()
     assert {key: entry for key, entry in world.state.data.items() if key.startswith("j/")} == {
@@ -304,12 +316,12 @@
     }
 
 
-def test_what_the_gate_tells_operators():
-    known = Gate(4, ["a", "b"])
-    known.take({"format": BEFORE, "seen": {"a": [4, 100.0]}}, 7)
-    known.take({"format": 4, "seen": {}}, 6)  # older word changes nothing
-    assert known.told(130.0) == {
-        "format": BEFORE,
+def test_the_format_gate_describes_its_state_to_operators():
+    known = FormatGate(4, ["a", "b"])
+    known.take({"format": FIRST_FORMAT, "seen": {"a": [4, 100.0]}}, 7)
+    known.take({"format": 4, "seen": {}}, 6)  # an older revision changes nothing
+    assert known.describe(130.0) == {
+        "format": FIRST_FORMAT,
         "open": False,
         "knows": 4,
         "members": [
@@ -319,8 +331,8 @@
     }
 
 
-def test_a_record_of_a_newer_format_is_left_alone():
-    """Nobody takes it over, answers for it, cancels it or moves it; the others are served."""
+def test_a_record_of_a_newer_format_is_left_unchanged():
+    """No controller takes it over, answers for it, cancels it or archives it; other jobs are served."""
     world = World("""
     at 1 submit count=2 legs=2 runS=5
     at 20 crash 0
@@ -333,17 +345,17 @@
     async def ask():
         user = world.users["req-000001"]
         for method, path in (("GET", ""), ("POST", "/cancel")):
-            answers.append((await user._ask(method, f"/v1/jobs/req-000777{path}", None, 2.0))[0])
+            answers.append((await user._request(method, f"/v1/jobs/req-000777{path}", None, 2.0))[0])
 
     world.sim.call_at(40.0, lambda: world.user_loop.spawn(ask(), "ask"))
     world.run()
     assert answers == [503, 503] and world.state.data["j/req-000777"][0] == record
-    assert world.broken == [] and world.counter("duties_failed") == 0
-    assert {user.told for user in world.users.values()} == {"done"}
+    assert world.violations == [] and world.counter("duties_failed") == 0
+    assert {user.last_state for user in world.users.values()} == {"done"}
 
 
-def test_an_empty_upstream_is_none_also_before_the_gate():
-    world = Rolled("""
+def test_an_empty_upstream_counts_as_none_even_before_the_format_gate_opens():
+    world = UpgradeWorld("""
     at 1 submit count=2 legs=1 runS=3
     at 8 upgrade 0
     until 60
@@ -354,6 +366,6 @@
     world.sim.call_at(14.0, lambda: world.jobs["req-000003"].update(upstream=[]))
     world.fronts_for = lambda _job: world.fronts[:1]
     world.run()
-    assert world.broken == [] and world.gate() == BEFORE
-    assert {user.told for user in world.users.values()} == {"done"}
+    assert world.violations == [] and world.gate() == FIRST_FORMAT
+    assert {user.last_state for user in world.users.values()} == {"done"}
     assert world.nodes[0].counters.counts.get("refused_submission_format_gate", 0) == 0
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,7 @@
-"""Garbage in, bounded answers out: HTTP, frames, done ranges and settings."""
+"""Parsers of HTTP, frames, messages and settings: any input is decoded or refused with the documented error.
+
+Also covers the ranges of done tasks and the record of a job.
+"""
 
 import json
 
@@ -10,10 +13,10 @@
 
 from roadhead import cli
 from roadhead.jobs.job import Job
-from roadhead.jobs.ranges import Pool, Ranges
+from roadhead.jobs.ranges import Ranges, TaskPool
 from roadhead.settings import SettingsError, parse, parse_tuning
 from roadhead.wire import frames, messages
-from roadhead.wire.http import MAX_BODY, MAX_HEAD, BadMessage, Parser, request_bytes
+from roadhead.wire.http import MAX_BODY, MAX_HEAD, HttpMessageError, HttpParser, request_bytes
 
 fixed = settings(derandomize=True, database=None, max_examples=150, deadline=None)
 
@@ -37,7 +40,7 @@
     "stowS": 0,
 }
 
-PLATFORM = {
+SETTINGS_DOCUMENT = {
     "label": "a",
     "location": "z",
     "front": "10.0.0.1:80",
@@ -56,21 +59,21 @@
 
 @fixed
 @given(st.binary(max_size=300), st.integers(1, 40))
-def test_http_garbage_is_refused_or_waits(data, step):
-    parser = Parser()
+def test_random_http_input_is_refused_or_incomplete(data, step):
+    parser = HttpParser()
     try:
         for at in range(0, len(data), step):
             parser.feed(data[at : at + step])
             parser.next()
-    except BadMessage as bad:
+    except HttpMessageError as bad:
         assert bad.status in (400, 413, 431)
 
 
 @fixed
 @given(st.binary(max_size=500), st.integers(1, 60))
-def test_http_requests_survive_any_cut(body, step):
+def test_http_requests_are_parsed_from_any_chunks(body, step):
     data = request_bytes("POST", "/v1/jobs", "h", body) * 2
-    parser = Parser()
+    parser = HttpParser()
     found = []
     for at in range(0, len(data), step):
         parser.feed(data[at : at + step])
@@ -93,10 +96,10 @@
         (b"GET / HTTP/1.1\r\nno colon\r\n\r\n", 400),
     ],
 )
-def test_http_refuses(data, status):
-    parser = Parser()
+def test_invalid_http_requests_are_refused(data, status):
+    parser = HttpParser()
     parser.feed(data)
-    with pytest.raises(BadMessage) as caught:
+    with pytest.raises(HttpMessageError) as caught:
         parser.next()
     assert caught.value.status == status
 
@@ -107,34 +110,34 @@
 
 @fixed
 @given(st.lists(st.tuples(texts, texts, counts, counts), max_size=5), counts, st.integers(1, 30))
-def test_frames_survive_any_cut(rows, number, step):
+def test_frames_are_decoded_from_any_chunks(rows, number, step):
     sent = [
-        frames.Sync(number, 1, [row[0] for row in rows], rows),
-        frames.Start(1, "m", number, "j", [(1, number)], 0, 1.0, 0.0, 2.5, "img", 0.9, 0.0, True, False),
+        frames.ReconcileRequest(number, 1, [row[0] for row in rows], rows),
+        frames.StartTasks(1, "m", number, "j", [(1, number)], 0, 1.0, 0.0, 2.5, "img", 0.9, 0.0, True, False),
     ]
     data = b"".join(frame.encode() for frame in sent)
-    splitter = frames.Splitter()
+    decoder = frames.FrameDecoder()
     found = []
     for at in range(0, len(data), step):
-        splitter.feed(data[at : at + step])
-        found += splitter.frames()
+        decoder.feed(data[at : at + step])
+        found += decoder.frames()
     assert found == sent
 
 
 @fixed
 @given(st.binary(min_size=1, max_size=200))
-def test_frame_garbage_ends_in_bad_frame_only(data):
-    splitter = frames.Splitter()
-    splitter.feed(data)
+def test_random_frame_input_raises_frame_errors_only(data):
+    decoder = frames.FrameDecoder()
+    decoder.feed(data)
     try:
-        assert all(isinstance(frame, frames.Frame) for frame in splitter.frames())
-    except frames.BadFrame:
+        assert all(isinstance(frame, frames.Frame) for frame in decoder.frames())
+    except frames.FrameError:
         pass
 
 
 @fixed
 @given(st.lists(st.integers(0, 60), max_size=80))
-def test_ranges_are_sets(numbers):
+def test_ranges_behave_like_sets(numbers):
     ranges = Ranges()
     known = set()
     for number in numbers:
@@ -142,21 +145,21 @@
         known.add(number)
     assert ranges.count == len(known)
     assert [n for n in range(61) if n in ranges] == sorted(known)
-    pool = Pool(ranges, 61)
-    free = [n for n in range(61) if n not in known]
-    assert [n for n in range(61) if n in pool] == free
-    taken = free[::2]
+    pool = TaskPool(ranges, 61)
+    unstarted = [n for n in range(61) if n not in known]
+    assert [n for n in range(61) if n in pool] == unstarted
+    taken = unstarted[::2]
     for number in taken:
         pool.remove(number)
     for number in taken[:3]:
         pool.append(number)
-    assert len(pool) == len(free) - len(taken[3:])
-    assert [pool.pop() for _ in range(len(pool))] == [*taken[:3][::-1], *free[1::2]]
+    assert len(pool) == len(unstarted) - len(taken[3:])
+    assert [pool.pop() for _ in range(len(pool))] == [*taken[:3][::-1], *unstarted[1::2]]
     assert Ranges(ranges.flat()).flat() == ranges.flat()
     assert all(end < start for end, start in zip(ranges.ends, ranges.starts[1:], strict=False))
 
 
-def test_record_of_ragged_completion_fits():
+def test_the_record_of_scattered_done_tasks_fits_a_value():
     spec = messages.parse({**JOB, "legs": 100_000}, messages.JobSpec)
     job = Job(spec, ("a", 1), 0.0)
     for index in range(0, 100_000, 2):
@@ -164,7 +167,7 @@
     job.done.add(1)
     record, recorded = job.record(8192)
     assert len(msgspec.json.encode(record)) <= 8192
-    assert 0 in recorded and 1 in recorded and 2 in recorded  # the longest range is kept
+    assert 0 in recorded and 1 in recorded and 2 in recorded  # the record keeps the longest range
     assert all(index in job.done for index in range(0, 100_000) if index in recorded)
 
 
@@ -189,35 +192,35 @@
         {"dueS": float("inf")},
     ],
 )
-def test_bad_jobs_are_invalid(change):
-    with pytest.raises(messages.Invalid):
-        messages.read(cbor2.dumps({**JOB, **change}), messages.JobSpec).check()
+def test_jobs_with_invalid_fields_are_rejected(change):
+    with pytest.raises(messages.InvalidMessageError):
+        messages.decode_as(cbor2.dumps({**JOB, **change}), messages.JobSpec).check()
 
 
 @pytest.mark.parametrize("name", sorted(JOB.keys() - {"kit"}))
-def test_missing_fields_are_invalid(name):
-    with pytest.raises(messages.Invalid):
-        messages.read(cbor2.dumps({k: v for k, v in JOB.items() if k != name}), messages.JobSpec)
+def test_jobs_with_missing_fields_are_rejected(name):
+    with pytest.raises(messages.InvalidMessageError):
+        messages.decode_as(cbor2.dumps({k: v for k, v in JOB.items() if k != name}), messages.JobSpec)
 
 
-def test_unknown_fields_are_ignored_and_null_may_be_left_out():
-    spec = messages.read(cbor2.dumps({**JOB, "colour": "red"}), messages.JobSpec)
+def test_unknown_fields_are_ignored_and_optional_ones_default_to_none():
+    spec = messages.decode_as(cbor2.dumps({**JOB, "colour": "red"}), messages.JobSpec)
     spec.check()
     assert (spec.types, spec.zone, spec.due_s, spec.cpus) == (None, None, None, 1.0)
 
 
 @fixed
 @given(st.binary(max_size=200))
-def test_cbor_garbage_is_invalid(data):
+def test_random_bytes_are_no_valid_report(data):
     try:
-        messages.read(data, messages.Report).check()
-    except messages.Invalid:
+        messages.decode_as(data, messages.Report).check()
+    except messages.InvalidMessageError:
         return
-    raise AssertionError("random bytes made a report")
+    raise AssertionError("random bytes were decoded as a valid report")
 
 
 def test_settings_ignore_unknown_fields():
-    assert parse(json.dumps({**PLATFORM, "colour": "red"}).encode()).label == "a"
+    assert parse(json.dumps({**SETTINGS_DOCUMENT, "colour": "red"}).encode()).label == "a"
 
 
 @pytest.mark.parametrize(
@@ -232,15 +235,15 @@
         {"external": {}},
     ],
 )
-def test_bad_settings_are_faults(change):
+def test_invalid_settings_are_rejected(change):
     with pytest.raises(SettingsError):
-        parse(json.dumps({**PLATFORM, **change}).encode())
+        parse(json.dumps({**SETTINGS_DOCUMENT, **change}).encode())
 
 
 def test_teams_are_checked():
     def teams(*teams):
-        deployment = {**PLATFORM["deployment"], "teams": list(teams)}
-        return parse(json.dumps({**PLATFORM, "deployment": deployment}).encode()).deployment.teams
+        deployment = {**SETTINGS_DOCUMENT["deployment"], "teams": list(teams)}
+        return parse(json.dumps({**SETTINGS_DOCUMENT, "deployment": deployment}).encode()).deployment.teams
 
     assert teams({"name": "guests"})[0].guarantee == (0, 0)
     assert teams({"name": "a", "cpus": 9, "cpus_max": 4, "gpus": 2})[0].guarantee == (4, 2)
@@ -257,17 +260,17 @@
         lambda inner: st.lists(inner, max_size=3) | st.dictionaries(texts, inner, max_size=3),
         max_leaves=8,
     ),
-    st.sampled_from(sorted(PLATFORM)),
+    st.sampled_from(sorted(SETTINGS_DOCUMENT)),
 )
-def test_settings_of_any_shape_load_or_fault(value, name):
+def test_settings_of_any_type_load_or_raise_settings_errors(value, name):
     try:
-        parse(json.dumps({**PLATFORM, name: value}).encode())
+        parse(json.dumps({**SETTINGS_DOCUMENT, name: value}).encode())
     except SettingsError as error:
         assert error.faults
 
 
 @pytest.mark.parametrize(
-    ("later", "says"),
+    ("later", "message"),
     [
         ({"value_kb": "2"}, "Expected `float"),
         ({"txn_ops": 2.5}, "Expected `int"),
@@ -277,32 +280,35 @@
         ({"write_rps": 0}, "next.write_rps: must be above"),
     ],
 )
-def test_limits_that_come_later_are_checked_like_the_rest(later, says, tmp_path, capsys):
-    deployment = {**PLATFORM["deployment"], "state": {**PLATFORM["deployment"]["state"], "next": later}}
+def test_announced_limits_are_checked_like_the_current_ones(later, message, tmp_path, capsys):
+    deployment = {
+        **SETTINGS_DOCUMENT["deployment"],
+        "state": {**SETTINGS_DOCUMENT["deployment"]["state"], "next": later},
+    }
     file = tmp_path / "settings.json"
-    file.write_text(json.dumps({**PLATFORM, "deployment": deployment}))
+    file.write_text(json.dumps({**SETTINGS_DOCUMENT, "deployment": deployment}))
     assert cli.main(["check", "--config", str(file)]) == 2
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == 1 and says in lines[0]
+    assert len(lines) == 1 and message in lines[0]
 
 
-def test_limits_that_come_later_may_be_left_out():
-    state = PLATFORM["deployment"]["state"]
+def test_announced_limits_may_be_left_out():
+    state = SETTINGS_DOCUMENT["deployment"]["state"]
     for later in (None, {}, {"rps": 3}):
-        deployment = {**PLATFORM["deployment"], "state": {**state, "next": later}}
-        limits = parse(json.dumps({**PLATFORM, "deployment": deployment}).encode()).deployment.state
+        deployment = {**SETTINGS_DOCUMENT["deployment"], "state": {**state, "next": later}}
+        limits = parse(json.dumps({**SETTINGS_DOCUMENT, "deployment": deployment}).encode()).deployment.state
         assert limits.planned().txn_ops == state["txn_ops"]
         assert limits.lowered().rps == (3 if later and later.get("rps") else state["rps"])
 
 
 @pytest.mark.parametrize("upstream", ["req-1", [7], ["job"], ["req-"], [None], {"req-1": True}, ["req-1 "]])
-def test_bad_upstream_is_malformed(upstream):
+def test_invalid_upstream_ids_are_rejected(upstream):
     body = messages.decode(messages.encode({**JOB, "upstream": upstream}))
-    with pytest.raises(messages.Invalid):
+    with pytest.raises(messages.InvalidMessageError):
         messages.parse(body, messages.JobSpec).check()
 
 
-def test_no_upstream_is_none():
+def test_an_empty_or_missing_upstream_is_falsy():
     for body in (JOB, {**JOB, "upstream": None}, {**JOB, "upstream": []}):
         spec = messages.parse(body, messages.JobSpec)
         spec.check()
@@ -311,12 +317,20 @@
         )
 
 
-PARTITIONS = [b"[membership]\nquota_partitions = " + count for count in (b"0", b"65", b"1.5", b"many")]
+INVALID_PARTITION_COUNTS = [
+    b"[membership]\nquota_partitions = " + count for count in (b"0", b"65", b"1.5", b"many")
+]
 
 
-def test_tuning():
+def test_tuning_is_parsed_and_checked():
     assert parse_tuning(b"[fleet]\nidle_ratio = 2").fleet.idle_ratio == 2
     assert parse_tuning(b"[membership]\nquota_partitions = 24").membership.quota_partitions == 24
-    for bad in (b"[fleet]\nidle = 2", b"[fleet]\nidle_ratio = -1", *PARTITIONS, b"[other]", b"no toml"):
+    for bad in (
+        b"[fleet]\nidle = 2",
+        b"[fleet]\nidle_ratio = -1",
+        *INVALID_PARTITION_COUNTS,
+        b"[other]",
+        b"no toml",
+    ):
         with pytest.raises(SettingsError):
             parse_tuning(bad)
