--- a/roadhead/scale/services.py
+++ b/roadhead/scale/services.py
@@ -90,7 +90,7 @@
         self.address = worker_address(cloud.network, number)
         self.born = cloud.sim.time
         self.boot_s = kind["startupS"] * cloud.sim.random.uniform(0.6, 1.5)
-        self.tasks = {}  # CloudApi expects the field; the real tasks are known only to the worker's process
+        self.tasks = {}  # read by CloudApi; the tasks are known only to the worker's process, so it stays empty
         self.failed = False
         self._cloud = cloud
 
